--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -58,7 +58,7 @@
 
 
 @pytest.fixture
-async def stranger(lone: LoneEntry) -> AsyncIterator[Browser]:
+async def anonymous_browser(lone: LoneEntry) -> AsyncIterator[Browser]:
     """A browser that is not signed in."""
     jar = aiohttp.CookieJar(unsafe=True)
     async with aiohttp.ClientSession(cookie_jar=jar) as session:
@@ -66,10 +66,10 @@
 
 
 @pytest.fixture
-async def browser(stranger: Browser) -> Browser:
+async def browser(anonymous_browser: Browser) -> Browser:
     """A browser that is signed in."""
-    await stranger.sign_in()
-    return stranger
+    await anonymous_browser.sign_in()
+    return anonymous_browser
 
 
 @pytest.fixture
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -29,12 +29,12 @@
     WorkerInfo,
 )
 from zincwell.dispatch.ports import (
-    EndedRow,
+    ActiveRun,
+    EndedRun,
     EndKind,
     HoldReply,
     PeerCallError,
     PeerClient,
-    RunningRow,
     StartOrder,
     StartReply,
     StartStatus,
@@ -81,7 +81,7 @@
     fence: int = 0
     lease_end: float = 0.0
     runs: dict[TaskId, FakeRun] = field(default_factory=dict)
-    ended: list[EndedRow] = field(default_factory=list)
+    ended: list[EndedRun] = field(default_factory=list)
     highest: dict[TaskId, int] = field(default_factory=dict)
     count: int = 0
     changed: asyncio.Event = field(default_factory=asyncio.Event)
@@ -151,7 +151,7 @@
         if run.ends:
             run.ends.cancel()
         self.count += 1
-        self.ended.append(EndedRow(number=self.count, task=run.task, run=run.number, kind=kind))
+        self.ended.append(EndedRun(number=self.count, task=run.task, run=run.number, kind=kind))
         if kind is EndKind.DONE:
             self.world.done[run.task] += 1
         self.changed.set()
@@ -168,7 +168,7 @@
                 pass  # Nothing ended while the call waited.
         now = self.world.loop.time()
         rows = [
-            RunningRow(task=r.task, run=r.number, percent=self.percent(r, now))
+            ActiveRun(task=r.task, run=r.number, percent=self.percent(r, now))
             for r in self.runs.values()
         ]
         return HoldReply(clock_ms=self.clock_ms(), running=rows, ended=list(self.ended))
@@ -213,12 +213,12 @@
         self.verdicts_by_job: dict[str, set[Verdict]] = defaultdict(set)
         self.calls_by_node: dict[str, set[asyncio.Future]] = {}
         self.drop_starts: set[str] = set()
-        self.lose_each_hold: int = 0
+        self.lose_every_nth_hold: int = 0
         self.holds: int = 0
         self.late_start_s: dict[str, float] = {}
         # Seconds that a call to a worker and its answer take of the caller's link, and until when
         # each link is taken.
-        self.link_s_of_call: float = 0.0
+        self.link_busy_s_per_call: float = 0.0
         self.link_free_at: dict[str, float] = defaultdict(float)
         # Seconds that it takes to list the workers: a large pool takes several pages.
         self.listing_s: float = 0.0
@@ -226,7 +226,7 @@
         self.guarded: bool = True
         # Seconds for which VMs were suspended; the loop's clock does not count them.
         self.suspended_s: dict[str, float] = defaultdict(float)
-        self.slow_ways: set[tuple[str, str]] = set()
+        self.delayed_links: set[tuple[str, str]] = set()
         self.late_envelopes: list[tuple[str, Envelope]] = []
         self.reads: Counter[tuple[str, Topic]] = Counter()
         self.deliveries: Counter[str] = Counter()
@@ -347,7 +347,7 @@
     def heal(self) -> None:
         self.cuts.clear()
 
-    async def heal_and_list(self, zone: str) -> None:
+    async def heal_and_relist(self, zone: str) -> None:
         """End all cuts; the workers of a zone are back in the list a moment later."""
         self.heal()
         await asyncio.sleep(0.5)
@@ -404,7 +404,7 @@
 
     async def run_job(self, entry: str, job: JobRequest) -> Outcome:
         node = self.nodes[entry]
-        call = asyncio.ensure_future(node.desk.run(job))
+        call = asyncio.ensure_future(node.pending_jobs.run(job))
         self.calls_by_node.setdefault(node.me.incarnation, set()).add(call)
         try:
             outcome = await call
@@ -429,7 +429,7 @@
 
     def deliver_late(self) -> None:
         """Deliver what was held back on slow ways; the senders have given it up."""
-        self.slow_ways.clear()
+        self.delayed_links.clear()
         for address, envelope in self.late_envelopes:
             self.nodes[address].receive(envelope)
         self.late_envelopes.clear()
@@ -444,7 +444,7 @@
             await asyncio.sleep(timeout_s)
             raise PeerCallError("no answer")
         envelope = msgspec.json.decode(msgspec.json.encode(envelope), type=type(envelope))
-        if (envelope.sender.name, address) in self.slow_ways:
+        if (envelope.sender.name, address) in self.delayed_links:
             self.late_envelopes.append((address, envelope))
             await asyncio.sleep(timeout_s)
             raise PeerCallError("no answer")
@@ -495,10 +495,10 @@
     async def _use_link(self) -> None:
         """Wait in the queue of this entry's link; an answer that nobody waits for takes it, too."""
         world, name = self._world, self._me[0]
-        if not world.link_s_of_call:
+        if not world.link_busy_s_per_call:
             return
         now = world.loop.time()
-        world.link_free_at[name] = max(world.link_free_at[name], now) + world.link_s_of_call
+        world.link_free_at[name] = max(world.link_free_at[name], now) + world.link_busy_s_per_call
         await asyncio.sleep(world.link_free_at[name] - now)
 
     async def _reach(self, info: WorkerInfo, timeout_s: float) -> FakeWorker:
@@ -542,7 +542,7 @@
 
     async def hold(self, worker, *, fence, acknowledged, deadline_ms, wait_s, timeout_s):
         call = self._hold(worker, fence, acknowledged, deadline_ms, wait_s, timeout_s)
-        if not self._world.link_s_of_call:
+        if not self._world.link_busy_s_per_call:
             return await call
         answer = asyncio.ensure_future(call)
         # Given up or not, the answer comes and takes its time on the link.
@@ -559,7 +559,10 @@
         reply = await target.hold(acknowledged, deadline_ms, wait_s)
         await asyncio.sleep(LATENCY_S)
         self._world.holds += 1
-        lost = self._world.lose_each_hold and self._world.holds % self._world.lose_each_hold == 0
+        lost = (
+            self._world.lose_every_nth_hold
+            and self._world.holds % self._world.lose_every_nth_hold == 0
+        )
         parted = self._world.parted(self._me, (worker.address, worker.zone))
         if lost or parted or not target.alive:
             await asyncio.sleep(called_at + timeout_s - self._world.loop.time())
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -14,14 +14,14 @@
 from zincwell.dispatch._cells import UNDIVIDED, make_layout
 from zincwell.dispatch._types import EntryInfo, Verdict
 from zincwell.dispatch.decisions import (
-    NO_WORKERS_S,
+    NO_WORKERS_BACKLOG_S,
     WORKERS_PER_CORE,
     CellShape,
     CellState,
     DomainSize,
     choose_other_cell,
-    is_served_at_home,
     plan_cells,
+    should_use_home_cell,
 )
 from zincwell.dispatch.ports import Topic
 
@@ -115,9 +115,9 @@
 
 
 def test_a_job_stays_at_home_while_it_need_not_wait():
-    assert_that(is_served_at_home(CellState(backlog_s=0.0)), Equals(True))
-    assert_that(is_served_at_home(CellState(backlog_s=0.2)), Equals(False))
-    assert_that(is_served_at_home(CellState(silence_s=0.4)), Equals(False))
+    assert_that(should_use_home_cell(CellState(backlog_s=0.0)), Equals(True))
+    assert_that(should_use_home_cell(CellState(backlog_s=0.2)), Equals(False))
+    assert_that(should_use_home_cell(CellState(silence_s=0.4)), Equals(False))
 
 
 def test_a_job_that_waits_little_at_home_goes_only_where_it_begins_at_once():
@@ -137,7 +137,7 @@
     others = {
         "short": CellState(backlog_s=0.02),
         "long": CellState(backlog_s=0.3),
-        "evacuated": CellState(backlog_s=NO_WORKERS_S),
+        "evacuated": CellState(backlog_s=NO_WORKERS_BACKLOG_S),
         "silent": CellState(silence_s=2.0),
     }
     chosen = {choose_other_cell(f"j{n}", 1000, others, home_wait_s=0.2) for n in range(50)}
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -55,8 +55,8 @@
     directory.note(later)
     directory.note(earlier)
     assert_that(directory.entries_by_name["e"], Equals(later))
-    assert_that(directory.is_past(earlier), Equals(True))
-    assert_that(directory.is_past(later), Equals(False))
+    assert_that(directory.is_superseded(earlier), Equals(True))
+    assert_that(directory.is_superseded(later), Equals(False))
 
 
 async def test_a_life_that_is_not_registered_yet_takes_the_place_of_a_known_one():
@@ -67,7 +67,7 @@
     directory.note(later)
     directory.note(make_life("e", incarnation="1"))
     assert_that(directory.entries_by_name["e"], Equals(later))
-    assert_that(directory.is_past(earlier), Equals(True))
+    assert_that(directory.is_superseded(earlier), Equals(True))
 
 
 async def test_an_entry_that_is_only_named_takes_no_place():
@@ -86,11 +86,11 @@
     owner = world.owners()[0]
     entry = next(name for name in world.nodes if name != owner)
     zone = world.nodes[entry].me.zone
-    world.slow_ways.add((entry, owner))
+    world.delayed_links.add((entry, owner))
     submit(world, entry, "held-up", run_ms=100)
     await asyncio.sleep(0.1)
     world.kill_node(entry)
-    world.slow_ways.clear()
+    world.delayed_links.clear()
     world.add_node(entry, zone)
     await asyncio.sleep(1)
     world.deliver_late()
--- a/tests/test_console_access.py
+++ b/tests/test_console_access.py
@@ -24,10 +24,12 @@
 SCRIPT = "<script>alert(1)</script>"
 
 
-async def test_without_a_session_each_page_leads_to_the_sign_in(lone: LoneEntry, stranger: Browser):
-    pages = [await stranger.get(path) for path in ("/console", "/console/edit")]
+async def test_without_a_session_each_page_leads_to_the_sign_in(
+    lone: LoneEntry, anonymous_browser: Browser
+):
+    pages = [await anonymous_browser.get(path) for path in ("/console", "/console/edit")]
     pages += [
-        await stranger.post(path, {"draft": "{}"})
+        await anonymous_browser.post(path, {"draft": "{}"})
         for path in ("edit", "publish", "rebase", "sign-out")
     ]
 
@@ -36,10 +38,10 @@
     assert_that(lone.entry.configuration.version, Equals(0))
 
 
-async def test_wrong_token_or_name_at_the_sign_in(stranger: Browser):
-    wrong = await stranger.sign_in(token="wrong")
-    unnamed = await stranger.sign_in(name=SCRIPT)
-    after = await stranger.get("/console")
+async def test_wrong_token_or_name_at_the_sign_in(anonymous_browser: Browser):
+    wrong = await anonymous_browser.sign_in(token="wrong")
+    unnamed = await anonymous_browser.sign_in(name=SCRIPT)
+    after = await anonymous_browser.get("/console")
 
     assert_that(
         (wrong.status, wrong.errors), Equals((401, ["The token is not the operators' token."]))
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -30,10 +30,10 @@
     def on_layout(self, record):
         pass
 
-    async def divide_first(self):
+    async def create_initial_layout(self):
         return False
 
-    def on_owner_heard(self):
+    def on_owner_contact(self):
         pass
 
     def on_claiming(self):
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -10,7 +10,7 @@
 
 from tests.dispatch_world import World
 from tests.pool_jobs import finish, submit, verdicts
-from zincwell.dispatch._evacuations import EvacuationKeeper
+from zincwell.dispatch._evacuations import EvacuationTracker
 from zincwell.dispatch._metrics import Metrics
 from zincwell.dispatch._types import Evacuation, Evacuations, Verdict
 from zincwell.dispatch.ports import Topic
@@ -203,25 +203,25 @@
     assert_that(verdicts(jobs + long_jobs), Equals({Verdict.SUCCEEDED}))
 
 
-def keep(calls: list) -> EvacuationKeeper:
-    return EvacuationKeeper(on_change=lambda: calls.append(1), metrics=Metrics())
+def keep(calls: list) -> EvacuationTracker:
+    return EvacuationTracker(on_change=lambda: calls.append(1), metrics=Metrics())
 
 
 def test_an_older_account_changes_nothing():
     calls: list = []
     keeper = keep(calls)
-    keeper.take_from_store(["b"], place=7)
-    keeper.note_account(Evacuations(place=5, domains=[]), entry="e")
-    keeper.take_from_store([], place=6)
+    keeper.update_from_store(["b"], offset=7)
+    keeper.update_from_peer(Evacuations(place=5, domains=[]), entry="e")
+    keeper.update_from_store([], offset=6)
     assert_that((keeper.domains, calls), Equals((["b"], [1])))
 
 
 def test_nothing_is_told_where_nobody_has_heard_of_an_evacuation():
     keeper = keep([])
-    keeper.take_from_store([], place=7)
-    assert_that(keeper.account(), Is(None))
-    keeper.note_account(Evacuations(place=5, domains=["b"]), entry="e")
-    assert_that(keeper.account(), Equals(Evacuations(place=7, domains=[])))
+    keeper.update_from_store([], offset=7)
+    assert_that(keeper.state_to_share(), Is(None))
+    keeper.update_from_peer(Evacuations(place=5, domains=["b"]), entry="e")
+    assert_that(keeper.state_to_share(), Equals(Evacuations(place=7, domains=[])))
 
 
 @pytest.mark.parametrize("value", [b"{}", b'{"zone":"x"}', b"\xff\x00no", b"7"])
--- a/tests/test_large_pools.py
+++ b/tests/test_large_pools.py
@@ -11,7 +11,7 @@
 from tests.dispatch_world import World
 from tests.pool_jobs import finish, submit, verdicts
 from zincwell.dispatch._types import Verdict
-from zincwell.dispatch.decisions import WORKERS_PER_CORE, choose_wait_s
+from zincwell.dispatch.decisions import WORKERS_PER_CORE, choose_long_poll_wait_s
 from zincwell.dispatch.ports import Topic
 
 pytestmark = pytest.mark.looptime
@@ -32,7 +32,7 @@
 
 
 def home_of(world: World, owner: str):
-    return world.nodes[owner]._board.home
+    return world.nodes[owner]._cell_directory.home
 
 
 async def test_a_pool_that_nobody_owned_is_divided_before_it_is_owned(world: World):
@@ -128,8 +128,8 @@
 
 def test_a_worker_that_stands_empty_is_asked_seldom():
     waits = [
-        choose_wait_s(longest_s=0.25, next_end_s=end_s, lossy=False, empty_s=empty_s)
-        for end_s, empty_s in [(None, 0.5), (None, 5.0), (0.1, 0.0)]
+        choose_long_poll_wait_s(max_wait_s=0.25, next_end_s=end_s, lossy=False, idle_s=idle_s)
+        for end_s, idle_s in [(None, 0.5), (None, 5.0), (0.1, 0.0)]
     ]
     assert_that(waits, Equals([0.25, 0.9, 0.25]))
 
--- a/tests/test_leaving_workers.py
+++ b/tests/test_leaving_workers.py
@@ -26,12 +26,12 @@
 def owners_of_parts(world: World, zone: str) -> list[str]:
     """Return the owners of the parts of a failure domain, the one that reads the list first."""
     owners = [name for name in world.owners() if world.nodes[name].me.zone == zone]
-    return sorted(owners, key=lambda name: world.nodes[name]._board.home.part)
+    return sorted(owners, key=lambda name: world.nodes[name]._cell_directory.home.part)
 
 
 def worker_of(world: World, owner: str) -> str:
     """Return a worker of an owner's cell."""
-    cell = world.nodes[owner]._board.home
+    cell = world.nodes[owner]._cell_directory.home
     return next(w.info.id for w in world.workers.values() if cell.covers(w.info.zone, w.info.id))
 
 
@@ -98,7 +98,7 @@
     await open_parts(world)
     first, second = owners_of_parts(world, "a")
     await asyncio.sleep(slow_after_s)
-    world.slow_ways.add((first, second))
+    world.delayed_links.add((first, second))
     await asyncio.sleep(0.5)
     world.leave(worker_of(world, second))
     await asyncio.sleep(arrives_after_s)
@@ -136,7 +136,7 @@
         started = len(world.starts)
         await asyncio.sleep(0.03)
         if len(world.starts) > started:
-            ages.append(world.nodes[second].list_age_s())
+            ages.append(world.nodes[second].worker_list_age_s())
     await finish(jobs)
     assert_that(max(ages), LessThan(LEAVE_NOTICE_S))
 
@@ -147,10 +147,13 @@
     first, _ = owners_of_parts(world, "a")
     await asyncio.sleep(2.5)
     successor = world.nodes[world.nodes[first]._directory.successors()[0]]
-    other = next(c for c in successor._board.other_cells() if c.domains == ["a"])
+    other = next(c for c in successor._cell_directory.other_cells() if c.domains == ["a"])
     assert_that(successor._worker_list.source, Equals(first))
-    assert_that(len(successor._worker_list.tell(successor._board.home).workers), GreaterThan(0))
-    assert_that(successor._worker_list.tell(other), Is(None))
+    assert_that(
+        len(successor._worker_list.make_snapshot(successor._cell_directory.home).workers),
+        GreaterThan(0),
+    )
+    assert_that(successor._worker_list.make_snapshot(other), Is(None))
 
 
 async def test_an_owner_that_has_read_no_list_logs_an_age_all_the_same(
@@ -160,7 +163,7 @@
     await world.open()
     owner = world.owners()[0]
     worker_list = world.nodes[owner]._worker_list
-    worker_list._version = ListVersion(place=10**9, cell="another")
+    worker_list._version = ListVersion(offset=10**9, cell="another")
     worker_list._feed._failures = 1
     caplog.set_level(logging.INFO)
     await finish([submit(world, owner, "job")])
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -20,7 +20,7 @@
     Replay,
     choose_retry_s,
     count_waves,
-    judge_behind,
+    judge_late_job,
 )
 
 CORE = 1000
@@ -60,7 +60,7 @@
     ],
 )
 def test_late_answers_are_for_calm_times(load: float, age_s: float, prospect: Prospect):
-    assert_that(judge_behind(end_age_s=age_s, objective_s=1.0, load=load), Is(prospect))
+    assert_that(judge_late_job(end_age_s=age_s, objective_s=1.0, load=load), Is(prospect))
 
 
 def test_wide_steps_run_in_waves():
@@ -79,7 +79,7 @@
 def test_the_offered_load_fades():
     load = OfferedLoad()
     for number in range(1000):
-        load.note_job(work=100.0, now=number / 100)
+        load.note_arrival(work=100.0, now=number / 100)
     busy = load.cores(10.0)
     assert_that(abs(busy - 10_000) < 500, Is(True))
     assert_that(load.cores(15.0), LessThan(busy / 100))
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -11,49 +11,56 @@
 from tests.dispatch_world import World
 from tests.pool_jobs import finish, other_than, submit, verdicts
 from zincwell.dispatch._types import Verdict
-from zincwell.dispatch.decisions import AnswerTimes, LossWatch, choose_wait_s, least_wait_s
+from zincwell.dispatch.decisions import (
+    AnswerLossDetector,
+    AnswerTimeoutEstimator,
+    choose_long_poll_wait_s,
+    min_poll_interval_s,
+)
 
 
 def test_patience_follows_what_answers_take():
-    times = AnswerTimes()
-    assert_that(times.patience_s(), Equals(0.25))
+    times = AnswerTimeoutEstimator()
+    assert_that(times.answer_timeout_s(), Equals(0.25))
     for _ in range(20):
         times.note(0.003)
-    assert_that(times.patience_s(), Equals(0.02))
+    assert_that(times.answer_timeout_s(), Equals(0.02))
     for _ in range(5):
         times.note(0.065)
-    assert_that(times.patience_s(), GreaterThan(0.065))
+    assert_that(times.answer_timeout_s(), GreaterThan(0.065))
     for _ in range(60):
         times.note(0.003)
-    assert_that(times.patience_s(), Equals(0.02))
+    assert_that(times.answer_timeout_s(), Equals(0.02))
 
 
 def test_patience_doubles_with_each_call_that_is_given_up():
-    times = AnswerTimes()
+    times = AnswerTimeoutEstimator()
     times.note(0.003)
-    times.note_given_up()
-    assert_that(times.patience_s(), Equals(0.04))
+    times.note_timeout()
+    assert_that(times.answer_timeout_s(), Equals(0.04))
     for _ in range(9):
-        times.note_given_up()
-    assert_that(times.patience_s(), Equals(0.25))
+        times.note_timeout()
+    assert_that(times.answer_timeout_s(), Equals(0.25))
     times.note(0.003)
-    assert_that(times.patience_s(), Equals(0.02))
+    assert_that(times.answer_timeout_s(), Equals(0.02))
 
 
 def test_a_slow_answer_is_none_that_was_lost():
-    losses = LossWatch()
+    losses = AnswerLossDetector()
     for at in (1.0, 1.1, 1.2, 1.3):
-        losses.note_given_up(at, late_s=0.0, patience_s=0.02, next_answer_s=0.065)
+        losses.note_timeout(at, late_s=0.0, answer_timeout_s=0.02, next_answer_s=0.065)
     assert_that(losses.is_lossy(1.3), Equals(False))
 
 
 def test_asking_takes_a_bounded_share_of_the_processor():
     # 48 workers, an eighth of a core: 62 calls a second take a quarter of it.
-    least_s = least_wait_s(workers=48, cores=0.125)
-    assert_that(48 / least_s * 0.0005, LessThan(0.25 * 0.125 + 1e-9))
-    wait_s = choose_wait_s(longest_s=2.0, next_end_s=0.01, lossy=True, least_s=least_s)
-    assert_that(wait_s, Equals(least_s))
-    assert_that(least_wait_s(workers=6, cores=1.0), Equals(0.03))
+    min_wait_s = min_poll_interval_s(workers=48, cores=0.125)
+    assert_that(48 / min_wait_s * 0.0005, LessThan(0.25 * 0.125 + 1e-9))
+    wait_s = choose_long_poll_wait_s(
+        max_wait_s=2.0, next_end_s=0.01, lossy=True, min_wait_s=min_wait_s
+    )
+    assert_that(wait_s, Equals(min_wait_s))
+    assert_that(min_poll_interval_s(workers=6, cores=1.0), Equals(0.03))
 
 
 @pytest.mark.looptime
@@ -64,7 +71,7 @@
     # four to eight times as often, which the link does not carry, so answers stay slow.
     # Cause: slow answers are taken for lost ones, and the reply to that is to ask more often.
     await world.open(workers=8)
-    world.link_s_of_call = 0.003
+    world.link_busy_s_per_call = 0.003
     owner = world.owners()[0]
     await asyncio.sleep(2)
     world.link_free_at[owner] = world.loop.time() + 0.3
--- a/tests/test_platform_http.py
+++ b/tests/test_platform_http.py
@@ -136,7 +136,7 @@
     )
 
 
-class FakeDesk:
+class FakePendingJobs:
     """Answers every job with one outcome."""
 
     def __init__(self) -> None:
@@ -150,7 +150,7 @@
     def cancel(self, job_id: str) -> bool:
         return job_id == JOB_ID
 
-    def state_of(self, job_id: str) -> bool:
+    def is_pending(self, job_id: str) -> bool:
         return job_id == JOB_ID
 
 
@@ -162,12 +162,12 @@
         self.configuration: Configuration | None = Configuration(
             version=1, routes=[route], max_body_bytes=2_000
         )
-        self.desk = FakeDesk()
+        self.pending_jobs = FakePendingJobs()
         self.leaving = False
         self.refusing = False
         self.pending_by_route = {"r": 3}
 
-    async def wait_configured(self) -> Configuration | None:
+    async def wait_for_configuration(self) -> Configuration | None:
         return self.configuration
 
 
@@ -368,15 +368,15 @@
 async def test_a_job_is_answered_with_its_state(session, callers, node: FakeNode):
     status, body, _ = await post(session, callers, JOB)
     assert_that((status, body), Equals((200, {"state": "succeeded"})))
-    assert_that(node.desk.jobs[0].steps[0].cpu, Equals(500))
-    assert_that(node.desk.jobs[0].priority, Equals(1))
+    assert_that(node.pending_jobs.jobs[0].steps[0].cpu, Equals(500))
+    assert_that(node.pending_jobs.jobs[0].priority, Equals(1))
 
 
 @pytest.mark.parametrize(
     ("verdict", "status"), [(Verdict.REFUSED, 503), (Verdict.UNKNOWN, 504), (Verdict.FAILED, 200)]
 )
 async def test_only_what_never_ran_is_refused(session, callers, node, verdict, status):
-    node.desk.outcome = Outcome(verdict=verdict, reason="why", retry_after_s=1.0)
+    node.pending_jobs.outcome = Outcome(verdict=verdict, reason="why", retry_after_s=1.0)
     answered, body, headers = await post(session, callers, JOB)
     assert_that(answered, Equals(status))
     if status != 200:
@@ -404,7 +404,7 @@
     answered, body, _ = await post(session, callers, {**JOB, **change})
     assert_that(answered, Equals(status))
     assert_that(body["error"], Contains(message))
-    assert_that(node.desk.jobs, Equals([]))
+    assert_that(node.pending_jobs.jobs, Equals([]))
 
 
 async def test_jobs_of_a_queue_that_needs_tickets_are_refused(session, callers, node):
@@ -426,7 +426,7 @@
     answered, body, _ = await post(session, callers, JOB)
     assert_that(answered, Equals(501))
     assert_that(body["error"], Contains("advice"))
-    assert_that(node.desk.jobs, Equals([]))
+    assert_that(node.pending_jobs.jobs, Equals([]))
 
 
 async def test_bodies_that_are_no_json_and_ids_of_the_wrong_form(session, callers):
@@ -462,4 +462,4 @@
     status, body, headers = await post(session, callers, JOB)
     assert_that((status, body["retryAfterMs"]), Equals((503, 1000)))
     assert_that(headers["Connection"], Equals("close"))
-    assert_that(node.desk.jobs, Equals([]))
+    assert_that(node.pending_jobs.jobs, Equals([]))
--- a/tests/test_platform_peers.py
+++ b/tests/test_platform_peers.py
@@ -9,8 +9,8 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals
 
-from zincwell.dispatch._configurations import ConfigurationKeeper
-from zincwell.dispatch._messages import Envelope, Hello, Receipt
+from zincwell.dispatch._configurations import ConfigurationManager
+from zincwell.dispatch._messages import Envelope, Ping, Receipt
 from zincwell.dispatch._metrics import Metrics
 from zincwell.dispatch._types import Configuration, EntryInfo, Route
 from zincwell.dispatch.ports import PeerCallError
@@ -26,7 +26,7 @@
     """As much of an entry as the listener needs."""
 
     def __init__(self, client: HttpPeerClient) -> None:
-        self.configurations = ConfigurationKeeper(client=client, metrics=Metrics())
+        self.configurations = ConfigurationManager(client=client, metrics=Metrics())
         self.envelopes: list[Envelope] = []
 
     def receive(self, envelope: Envelope) -> Receipt:
@@ -63,7 +63,7 @@
 
 
 async def test_an_envelope_is_delivered_whole(client: HttpPeerClient, receiver: Receiver):
-    envelope = Envelope(sender=ME, sequence=7, sent_at=1.5, messages=[Hello()], version=3, fence=9)
+    envelope = Envelope(sender=ME, sequence=7, sent_at=1.5, messages=[Ping()], version=3, fence=9)
     receipt = await client.deliver(receiver.address, envelope, timeout_s=TIMEOUT_S)
     assert_that(receiver.envelopes, Equals([envelope]))
     assert_that(receipt, Equals(Receipt(receiver=ME)))
@@ -71,14 +71,14 @@
 
 async def test_a_large_configuration_is_copied_whole(client: HttpPeerClient, receiver: Receiver):
     configuration = make_configuration(12, routes=1_400)
-    receiver.configurations.take(configuration, source="store")
+    receiver.configurations.apply(configuration, source="store")
     copy = await client.fetch_configuration(receiver.address, timeout_s=TIMEOUT_S)
     assert_that(copy, Equals(configuration))
 
 
 async def test_a_copy_is_of_the_version_in_force(client: HttpPeerClient, receiver: Receiver):
     for version, in_force in [(2, 2), (5, 5), (4, 5)]:
-        receiver.configurations.take(make_configuration(version), source="store")
+        receiver.configurations.apply(make_configuration(version), source="store")
         copy = await client.fetch_configuration(receiver.address, timeout_s=TIMEOUT_S)
         assert_that(copy.version, Equals(in_force))
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -10,9 +10,9 @@
 
 from tests.dispatch_world import World
 from tests.pool_jobs import finish, other_than, submit, verdicts
-from zincwell.dispatch import _placement, _workers
+from zincwell.dispatch import _placement, _worker_set
 from zincwell.dispatch._types import Verdict
-from zincwell.dispatch._worker import WorkerSession
+from zincwell.dispatch._worker_session import WorkerSession
 
 pytestmark = pytest.mark.looptime
 
@@ -166,7 +166,7 @@
     await asyncio.sleep(2 + late_s)
     job = submit(world, owner, "job", run_ms=1500)
     await asyncio.sleep(0.3)
-    await world.heal_and_list(zone)
+    await world.heal_and_relist(zone)
     await finish([job])
     await asyncio.sleep(2)
 
@@ -186,7 +186,7 @@
     await asyncio.sleep(4)
     job = submit(world, owner, "job", run_ms=1500)
     await asyncio.sleep(0.3)
-    await world.heal_and_list(zone)
+    await world.heal_and_relist(zone)
     await finish([job])
     await asyncio.sleep(2)
 
@@ -406,10 +406,10 @@
     looks: list[str] = []
     count_calls(monkeypatch, WorkerSession, "can_start", looks)
     count_calls(monkeypatch, _placement, "fits_now", looks)
-    count_calls(monkeypatch, _workers, "could_ever_fit", looks)
+    count_calls(monkeypatch, _worker_set, "could_ever_fit", looks)
     owner = world.nodes[world.owners()[0]]._owner
     owner._scheduler.place()
-    owner._refuse_hopeless(asyncio.get_running_loop().time())
+    owner._end_unservable_jobs(asyncio.get_running_loop().time())
     assert_that(len(owner._scheduler.queue), GreaterThan(50))
     assert_that(len(looks), LessThan(len(world.workers) + 1))
     for job in jobs:
--- a/tests/test_pool_messages.py
+++ b/tests/test_pool_messages.py
@@ -10,9 +10,9 @@
 from testtools.matchers import Equals, HasLength
 
 from tests.dispatch_world import LATENCY_S, World, make_job
-from zincwell.dispatch._cell_board import CellBoard
-from zincwell.dispatch._domains import DomainWatch
-from zincwell.dispatch._messages import Beat, CellReport, Envelope, Hello, Receipt
+from zincwell.dispatch._cell_directory import CellDirectory
+from zincwell.dispatch._domains import DomainMonitor
+from zincwell.dispatch._messages import CellReport, Envelope, OwnerHeartbeat, Ping, Receipt
 from zincwell.dispatch._peers import LinkObserver, PeerLink
 from zincwell.dispatch._types import EntryInfo, Verdict
 from zincwell.dispatch.ports import PeerCallError, PeerClient
@@ -51,7 +51,7 @@
     # Cause: what it reads there looks like a request that has just been sent.
     await world.open()
     entry, owner = entry_and_owner(world)
-    world.slow_ways.add((entry, owner))
+    world.delayed_links.add((entry, owner))
     call = asyncio.ensure_future(world.run_job(entry, make_job("job")))
     await asyncio.sleep(0.1)
     call.cancel()
@@ -64,7 +64,7 @@
 async def test_a_late_job_whose_caller_still_waits_is_handed_over_again(world: World):
     await world.open()
     entry, owner = entry_and_owner(world)
-    world.slow_ways.add((entry, owner))
+    world.delayed_links.add((entry, owner))
     call = asyncio.ensure_future(world.run_job(entry, make_job("job", objective_ms=9000)))
     await asyncio.sleep(0.8)
     world.deliver_late()
@@ -157,11 +157,11 @@
         sequences=itertools.count(1),
         clock=asyncio.get_running_loop().time,
     )
-    link.send(Hello())
+    link.send(Ping())
     await asyncio.sleep(1.0)
-    link.send(Hello())
+    link.send(Ping())
     await asyncio.sleep(4.0)
-    link.send(Hello())
+    link.send(Ping())
     await asyncio.sleep(0.1)
     link.close()
     waited_s = [round(envelope.waited_s) for envelope in client.envelopes]
@@ -171,16 +171,16 @@
 async def test_a_heartbeat_that_waited_says_nothing_of_the_domains_since():
     # Guards against a successor that takes all that runs for seen, by an owner's word from before
     # a cut, and starts again what runs in the domain that was cut off.
-    watch = DomainWatch(me=ME)
-    watch.note_beat(Beat(fence=1, owner=OTHER, complete_s=100.0), delay_s=5.0)
-    watch.note_elected(extended=False)
+    watch = DomainMonitor(me=ME)
+    watch.note_heartbeat(OwnerHeartbeat(fence=1, owner=OTHER, complete_s=100.0), delay_s=5.0)
+    watch.note_elected(was_owner=False)
     assert_that(watch.complete_s(), Equals(0.0))
 
 
 async def test_a_report_that_waited_does_not_replace_a_newer_one():
     # Guards against jobs that are sent to a cell by how it stood seconds ago.
-    board = CellBoard(me=ME)
-    board.note_owner("cell", OTHER, 1)
-    board.note_report(CellReport(cell="cell", fence=1, pending={"r": 1}))
-    board.note_report(CellReport(cell="cell", fence=1, pending={"r": 9}), delay_s=2.0)
-    assert_that(board.pending_by_route(), Equals({"r": 1}))
+    cell_directory = CellDirectory(me=ME)
+    cell_directory.note_owner("cell", OTHER, 1)
+    cell_directory.note_report(CellReport(cell="cell", fence=1, pending={"r": 1}))
+    cell_directory.note_report(CellReport(cell="cell", fence=1, pending={"r": 9}), delay_s=2.0)
+    assert_that(cell_directory.pending_by_route(), Equals({"r": 1}))
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -70,7 +70,7 @@
     follower = follow(store)
     await asyncio.sleep(2.1)
     follower.close()
-    assert_that(follower.place, Equals(0))
+    assert_that(follower.offset, Equals(0))
     assert_that(follower.read_at - opened_at, LessThan(0.1))
 
 
@@ -80,7 +80,7 @@
     follower = follow(store)
     await asyncio.sleep(10)
     follower.close()
-    assert_that(store.end() - follower.place, LessThan(1000 * (PAUSE_S + 0.1)))
+    assert_that(store.end() - follower.offset, LessThan(1000 * (PAUSE_S + 0.1)))
 
 
 def test_an_answer_that_is_cut_says_so():
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -10,7 +10,7 @@
 
 from tests.dispatch_world import World, make_job
 from tests.pool_jobs import finish, other_than, submit, verdicts
-from zincwell.dispatch._callers import CallerDesk, OwnerChannel
+from zincwell.dispatch._callers import OwnerChannel, PendingJobTracker
 from zincwell.dispatch._messages import JobEnded, Submit
 from zincwell.dispatch._metrics import Metrics
 from zincwell.dispatch._types import Outcome, Verdict
@@ -135,16 +135,16 @@
 async def hand_to_two_owners(*, unsent: bool, again: bool) -> Submit:
     """Return what the second owner is told of a job that was handed to the first one."""
     channel = Channel()
-    desk = CallerDesk(channel=channel, metrics=Metrics())
-    caller = asyncio.ensure_future(desk.run(make_job("job")))
+    pending_jobs = PendingJobTracker(channel=channel, metrics=Metrics())
+    caller = asyncio.ensure_future(pending_jobs.run(make_job("job")))
     await asyncio.sleep(0)
     if again:
-        desk.hand_again(after_s=-1)
+        pending_jobs.resubmit(after_s=-1)
     channel.token = 2
-    desk.note_unsent({"job"} if unsent else set())
-    desk.hand_over("")
+    pending_jobs.note_unsent({"job"} if unsent else set())
+    pending_jobs.submit_pending("")
     caller.cancel()
-    desk.close()
+    pending_jobs.close()
     return channel.submitted[-1]
 
 
@@ -169,17 +169,19 @@
     """Return what a caller is told whose job its owner refuses, and what the owner was sent."""
     channel = Channel()
     channel.choose_cell = lambda request, *, refused_by: "b" if refused_by else ""
-    desk = CallerDesk(channel=channel, metrics=Metrics())
-    caller = asyncio.ensure_future(desk.run(make_job("job")))
+    pending_jobs = PendingJobTracker(channel=channel, metrics=Metrics())
+    caller = asyncio.ensure_future(pending_jobs.run(make_job("job")))
     await asyncio.sleep(0)
     if again:
-        desk.hand_again(after_s=-1)
+        pending_jobs.resubmit(after_s=-1)
     refusal = JobEnded(job="job", outcome=Outcome(verdict=Verdict.REFUSED), fence=1, shared=shared)
-    desk.take_answer(refusal)
+    pending_jobs.handle_answer(refusal)
     if len(channel.submitted) > 1 + again:
-        desk.take_answer(JobEnded(job="job", outcome=Outcome(verdict=Verdict.SUCCEEDED), fence=1))
+        pending_jobs.handle_answer(
+            JobEnded(job="job", outcome=Outcome(verdict=Verdict.SUCCEEDED), fence=1)
+        )
     outcome = await caller
-    desk.close()
+    pending_jobs.close()
     return outcome.verdict, channel
 
 
@@ -215,7 +217,7 @@
     await world.open()
     node = world.add_node("e-new", "a")
     assert_that(node.configuration, Is(None))
-    configuration = await node.wait_configured()
+    configuration = await node.wait_for_configuration()
     assert_that(configuration.version, Equals(1))
 
 
@@ -225,7 +227,7 @@
     for name in world.nodes:
         world.cut("e-new", name)
     node = world.add_node("e-new", "a")
-    await node.wait_configured()
+    await node.wait_for_configuration()
     began_at = world.loop.time()
-    assert_that(await node.wait_configured(), Is(None))
+    assert_that(await node.wait_for_configuration(), Is(None))
     assert_that(world.loop.time(), Equals(began_at))
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -10,7 +10,7 @@
 from testtools.matchers import Equals, Is
 
 from zincwell.dispatch._jobs import Job, Task
-from zincwell.dispatch._placement import FreeRoom, fits_now
+from zincwell.dispatch._placement import AvailableWorkers, fits_now
 from zincwell.dispatch._queue import FIRST_TASKS, JobQueue
 from zincwell.dispatch._types import JobRequest, Step, TaskId
 
@@ -27,7 +27,7 @@
         priority=priority,
         objective_ms=100,
     )
-    return Job(request=request, arrived_at=at, exposed=False, taken_at=at)
+    return Job(request=request, arrived_at=at, possibly_started=False, accepted_at=at)
 
 
 def ids(queue: JobQueue) -> list[str]:
@@ -132,7 +132,7 @@
         )
         for number in range(30)
     ]
-    room = FreeRoom(sessions)
+    room = AvailableWorkers(sessions)
     for number in range(60):
         step = Step(
             count=1,
@@ -141,7 +141,9 @@
             rack=choose.choice(["", "r2"]),
         )
         task = Task(id=TaskId("job", 0, number))
-        task.avoid.update(choose.sample([s.info.id for s in sessions], choose.choice([0, 0, 9])))
+        task.avoided_workers.update(
+            choose.sample([s.info.id for s in sessions], choose.choice([0, 0, 9]))
+        )
         found = room.find(step=step, task=task)
         fitting = [s for s in sessions if fits_now(s, step=step, task=task)]
         if not fitting:
@@ -155,4 +157,4 @@
 def rank(session, step: Step, task: Task) -> tuple[bool, bool, int]:
     """Return how well a task fits a worker; the smallest is the best."""
     far = bool(step.rack) and step.rack not in session.info.labels
-    return (session.info.id in task.avoid, far, session.free_cpu - step.cpu)
+    return (session.info.id in task.avoided_workers, far, session.free_cpu - step.cpu)
--- a/tests/test_slowness.py
+++ b/tests/test_slowness.py
@@ -10,13 +10,13 @@
 
 from tests.dispatch_world import World
 from tests.pool_jobs import finish, other_than, submit, verdicts
-from zincwell.dispatch._slowness import BEATS, REST_S, TERM_S, SlownessWatch
+from zincwell.dispatch._owner_lag import BEATS, REST_S, TERM_S, OwnerLagDetector
 from zincwell.dispatch._types import Verdict
 
 
-def watch_in_term(now: float = 100.0) -> SlownessWatch:
+def watch_in_term(now: float = 100.0) -> OwnerLagDetector:
     """A watch whose entry has been owner for long enough to be judged."""
-    watch = SlownessWatch()
+    watch = OwnerLagDetector()
     watch.begin_term(now - TERM_S)
     return watch
 
@@ -24,32 +24,32 @@
 def test_one_pause_is_no_slowness():
     watch = watch_in_term()
     for lateness_s in [0.001, 0.001, 5.0, 0.002, 0.001, 0.001, 0.001, 0.001]:
-        watch.note_beat(lateness_s, 100.0)
-    assert_that(watch.hands_over, Is(False))
+        watch.note_heartbeat(lateness_s, 100.0)
+    assert_that(watch.should_hand_over, Is(False))
 
 
 def test_late_timers_all_the_time_are():
     watch = watch_in_term()
     for _ in range(BEATS):
-        watch.note_beat(0.2, 100.0)
-    assert_that(watch.hands_over, Is(True))
+        watch.note_heartbeat(0.2, 100.0)
+    assert_that(watch.should_hand_over, Is(True))
 
 
 def test_a_new_owner_is_not_judged_by_its_first_moments():
-    watch = SlownessWatch()
+    watch = OwnerLagDetector()
     watch.begin_term(100.0)
     for _ in range(BEATS):
-        watch.note_beat(0.2, 100.5)
-    assert_that(watch.hands_over, Is(False))
+        watch.note_heartbeat(0.2, 100.5)
+    assert_that(watch.should_hand_over, Is(False))
 
 
 def test_who_handed_the_pool_over_rests():
     watch = watch_in_term()
     for _ in range(BEATS):
-        watch.note_beat(0.2, 100.0)
+        watch.note_heartbeat(0.2, 100.0)
     watch.end_term(100.0)
-    assert_that(watch.rests(100.0 + REST_S / 2), Is(True))
-    assert_that(watch.rests(100.1 + REST_S), Is(False))
+    assert_that(watch.is_ineligible(100.0 + REST_S / 2), Is(True))
+    assert_that(watch.is_ineligible(100.1 + REST_S), Is(False))
 
 
 @pytest.mark.looptime
@@ -63,7 +63,7 @@
     job = submit(world, other_than(world, slow), "job", count=4, run_ms=900)
     await asyncio.sleep(0.2)
     for _ in range(BEATS):
-        world.nodes[slow]._slowness.note_beat(0.2, asyncio.get_running_loop().time())
+        world.nodes[slow]._owner_lag.note_heartbeat(0.2, asyncio.get_running_loop().time())
     await asyncio.sleep(0.3)
     assert_that(world.owners(), HasLength(1))
     assert_that(world.owners() == [slow], Is(False))
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -13,9 +13,9 @@
 from zincwell.dispatch._runs import Run
 from zincwell.dispatch._types import TaskId, Verdict
 from zincwell.dispatch.decisions import (
-    LossWatch,
+    AnswerLossDetector,
     RunTimes,
-    choose_wait_s,
+    choose_long_poll_wait_s,
     is_slow_worker,
     is_stalled,
     pays_to_move,
@@ -29,19 +29,19 @@
 
 def test_progress_tells_how_long_a_run_takes():
     run = make_run(expected_s=0.2)
-    run.note_begun(1_000)
-    assert_that(run.project_s(), Is(None))
+    run.note_started(1_000)
+    assert_that(run.projected_total_s(), Is(None))
     run.note_progress(1_250, percent=25.0)
-    assert_that(run.project_s(), Equals(1.0))
+    assert_that(run.projected_total_s(), Equals(1.0))
     assert_that(run.left_s(0.25, expected_s=0.2), Equals(0.75))
-    assert_that(run.still_s(1_400), Equals(0.15))
+    assert_that(run.stalled_s(1_400), Equals(0.15))
 
 
 def test_an_adopted_run_is_judged_from_where_it_was_first_seen():
     run = make_run(expected_s=1.0, adopted=True)
     run.note_progress(1_000, percent=50.0)
     run.note_progress(1_100, percent=60.0)
-    assert_that(run.project_s(), Equals(1.0))
+    assert_that(run.projected_total_s(), Equals(1.0))
     assert_that(run.left_s(99.0, expected_s=1.0), Equals(0.4))
 
 
@@ -54,9 +54,9 @@
 
 
 def test_a_long_task_may_stand_still_for_longer():
-    assert_that(is_stalled(still_s=0.2, expected_s=0.06), Is(True))
-    assert_that(is_stalled(still_s=0.2, expected_s=0.9), Is(False))
-    assert_that(is_stalled(still_s=0.6, expected_s=30.0), Is(True))
+    assert_that(is_stalled(stalled_s=0.2, expected_s=0.06), Is(True))
+    assert_that(is_stalled(stalled_s=0.2, expected_s=0.9), Is(False))
+    assert_that(is_stalled(stalled_s=0.6, expected_s=30.0), Is(True))
 
 
 def test_a_task_is_moved_twice_at_most():
@@ -113,23 +113,25 @@
     # Symptom: the core of an owner of many workers is full and nothing is served in time.
     # Sequence: it reads answers late, takes them for lost, asks again and waits for shorter times.
     # Cause: more calls in reply to its own lateness.
-    losses = LossWatch()
+    losses = AnswerLossDetector()
     for at in (1.0, 1.1, 1.2):
-        losses.note_given_up(at, late_s=0.02, patience_s=0.02, next_answer_s=0.004)
+        losses.note_timeout(at, late_s=0.02, answer_timeout_s=0.02, next_answer_s=0.004)
     assert_that(losses.is_lossy(1.2), Is(False))
     for at in (2.0, 2.1):
-        losses.note_given_up(at, late_s=0.0, patience_s=0.02, next_answer_s=0.004)
+        losses.note_timeout(at, late_s=0.0, answer_timeout_s=0.02, next_answer_s=0.004)
     assert_that(losses.is_lossy(2.1), Is(False))
-    losses.note_given_up(2.2, late_s=0.0, patience_s=0.02, next_answer_s=0.004)
+    losses.note_timeout(2.2, late_s=0.0, answer_timeout_s=0.02, next_answer_s=0.004)
     assert_that(losses.is_lossy(2.2), Is(True))
     assert_that(losses.is_lossy(9.0), Is(False))
 
 
 def test_calls_are_short_only_while_answers_get_lost():
-    assert_that(choose_wait_s(longest_s=0.25, next_end_s=0.05, lossy=False), Equals(0.25))
-    assert_that(choose_wait_s(longest_s=0.25, next_end_s=0.04, lossy=True), Equals(0.05))
-    assert_that(choose_wait_s(longest_s=0.25, next_end_s=0.0, lossy=True), Equals(0.03))
-    assert_that(choose_wait_s(longest_s=0.25, next_end_s=None, lossy=True), Equals(0.06))
+    assert_that(
+        choose_long_poll_wait_s(max_wait_s=0.25, next_end_s=0.05, lossy=False), Equals(0.25)
+    )
+    assert_that(choose_long_poll_wait_s(max_wait_s=0.25, next_end_s=0.04, lossy=True), Equals(0.05))
+    assert_that(choose_long_poll_wait_s(max_wait_s=0.25, next_end_s=0.0, lossy=True), Equals(0.03))
+    assert_that(choose_long_poll_wait_s(max_wait_s=0.25, next_end_s=None, lossy=True), Equals(0.06))
 
 
 @pytest.mark.looptime
@@ -139,7 +141,7 @@
     # worker are heard when the next one is sent. Cause: the call may last 0.25 s, four times as
     # long as the tasks run.
     await world.open()
-    world.lose_each_hold = 15
+    world.lose_every_nth_hold = 15
     entry = other_than(world)
     late = 0
     for number in range(60):
--- a/zincwell/daemon.py
+++ b/zincwell/daemon.py
@@ -8,7 +8,7 @@
 import sys
 
 from zincwell.entry import Entry
-from zincwell.logs import set_up_logs
+from zincwell.logs import configure_logging
 from zincwell.loops import new_event_loop
 from zincwell.settings import Settings
 
@@ -20,7 +20,7 @@
 
     :raises SettingsError: if a listener or a file of the settings can't be opened.
     """
-    set_up_logs(settings.log_level)
+    configure_logging(settings.log_level)
     # The default makes the collector walk all queued tasks over and over under load.
     gc.set_threshold(GC_FIRST_GENERATION)
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
--- a/zincwell/demo.py
+++ b/zincwell/demo.py
@@ -8,7 +8,7 @@
 from zincwell.client import Client
 from zincwell.entry import Entry
 from zincwell.exceptions import ZincwellError
-from zincwell.logs import set_up_logs
+from zincwell.logs import configure_logging
 from zincwell.loops import new_event_loop
 from zincwell.models import Answer, Outcome
 from zincwell.ports import Vm
@@ -34,7 +34,7 @@
 
     :raises ZincwellError: if the job does not complete.
     """
-    set_up_logs("warning")
+    configure_logging("warning")
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(_demo())
 
--- a/zincwell/dispatch/__init__.py
+++ b/zincwell/dispatch/__init__.py
@@ -4,8 +4,8 @@
 takes jobs from callers, hands them to the owner and answers. docs/design/platform.md tells why.
 """
 
+from zincwell.dispatch._background import BackgroundTasks
 from zincwell.dispatch._node import Node
-from zincwell.dispatch._tasks import TaskGroup
 from zincwell.dispatch._types import Limits
 
-__all__ = ["Limits", "Node", "TaskGroup"]
+__all__ = ["BackgroundTasks", "Limits", "Node"]
--- a/zincwell/dispatch/_tasks.py
+++ b/zincwell/dispatch/_background.py
@@ -10,7 +10,7 @@
 log = logging.getLogger("zincwell.tasks")
 
 
-class TaskGroup:
+class BackgroundTasks:
     """Background tasks of one object, ended together.
 
     An error in a task that nobody awaits would show only as something that no longer happens;
--- a/zincwell/dispatch/_callers.py
+++ b/zincwell/dispatch/_callers.py
@@ -8,11 +8,11 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
+from zincwell.dispatch._background import BackgroundTasks
 from zincwell.dispatch._messages import Cancel, JobEnded, Submit
 from zincwell.dispatch._metrics import Metrics
-from zincwell.dispatch._tasks import TaskGroup
 from zincwell.dispatch._types import JobRequest, Outcome, Verdict
-from zincwell.dispatch.decisions import LATEST_OBJECTIVES
+from zincwell.dispatch.decisions import ANSWER_EXPIRY_OBJECTIVES
 
 log = logging.getLogger("zincwell.callers")
 
@@ -67,7 +67,7 @@
     :param refused_by: cells whose owners have refused it.
     :param handed_fence: fencing token of the owner that has it, 0 if none.
     :param handed_again: it was handed to that owner more than once.
-    :param exposed: an owner has had it and may have started tasks of it.
+    :param possibly_started: an owner has had it and may have started tasks of it.
     """
 
     request: JobRequest
@@ -79,10 +79,10 @@
     handed_fence: int = 0
     handed_at: float = 0.0
     handed_again: bool = False
-    exposed: bool = False
+    possibly_started: bool = False
 
 
-class CallerDesk:
+class PendingJobTracker:
     """Keeps each caller's job until its answer is known, across changes of the owner.
 
     Only an answer of the owner that has the job can say that nothing was started; when an owner
@@ -94,7 +94,7 @@
         self._metrics = metrics
         self._pending_by_id: dict[str, PendingJob] = {}
         self._loop = asyncio.get_running_loop()
-        self._tasks = TaskGroup()
+        self._tasks = BackgroundTasks()
         self._tasks.spawn(self._review_forever())
 
     def close(self) -> None:
@@ -134,11 +134,11 @@
         self.settle(job_id, Outcome(verdict=Verdict.CANCELLED))
         return True
 
-    def state_of(self, job_id: str) -> bool:
+    def is_pending(self, job_id: str) -> bool:
         """Return whether a caller of the job waits here."""
         return job_id in self._pending_by_id
 
-    def take_answer(self, message: JobEnded) -> None:
+    def handle_answer(self, message: JobEnded) -> None:
         """Take an owner's answer.
 
         That a job has ended holds whoever says it. That it was refused, stopped or given up holds
@@ -165,7 +165,7 @@
         then, takes the second one for a new job and runs it.
         """
         if pending.handed_again:
-            pending.exposed = True
+            pending.possibly_started = True
             self._channel.cancel(pending.cell, Cancel(job=pending.request.id))
 
     def _pass_on(self, pending: PendingJob) -> bool:
@@ -175,7 +175,7 @@
         brought to two entries stays: each would choose a cell, and both might run it.
         """
         pending.refused_by.add(pending.cell)
-        if pending.exposed or len(pending.refused_by) > MAX_PASSES:
+        if pending.possibly_started or len(pending.refused_by) > MAX_PASSES:
             return False
         cell = self._channel.choose_cell(pending.request, refused_by=pending.refused_by)
         if cell is None:
@@ -190,7 +190,7 @@
         pending = self._pending_by_id.pop(job_id, None)
         if pending is None:
             return
-        if outcome.verdict is Verdict.REFUSED and pending.exposed:
+        if outcome.verdict is Verdict.REFUSED and pending.possibly_started:
             outcome = Outcome(
                 verdict=Verdict.UNKNOWN,
                 reason=outcome.reason,
@@ -215,14 +215,14 @@
         if pending is not None:
             pending.done.update(tuple(task) for task in tasks)
 
-    def hand_over(self, cell: str) -> None:
+    def submit_pending(self, cell: str) -> None:
         """Hand all waiting jobs of a cell to its owner that has just become known."""
         fence = self._channel.fence(cell)
         for pending in self._pending_by_id.values():
             if pending.cell == cell and pending.handed_fence != fence:
                 self._hand(pending)
 
-    def bring_home(self) -> None:
+    def reassign_to_home_cell(self) -> None:
         """Keep all jobs for the own cell, as the cells are others now.
 
         Those that were handed to an owner may run anywhere until their leases have lapsed.
@@ -245,7 +245,7 @@
 
     def _choose_again(self, pending: PendingJob) -> None:
         """Hand a job that was never sent to the cell that takes it now."""
-        if pending.exposed or pending.handed_fence:
+        if pending.possibly_started or pending.handed_fence:
             return
         cell = self._channel.choose_cell(pending.request, refused_by=pending.refused_by)
         if cell is not None and cell != pending.cell:
@@ -263,7 +263,7 @@
             return
         pending.handed_again = pending.handed_fence == fence
         if pending.handed_fence:
-            pending.exposed = True
+            pending.possibly_started = True
         pending.handed_fence = fence
         pending.handed_at = self._loop.time()
         self._channel.submit(
@@ -271,7 +271,7 @@
             Submit(
                 job=pending.request,
                 age_s=self._loop.time() - pending.arrived_at,
-                exposed=pending.exposed,
+                exposed=pending.possibly_started,
                 done=sorted(pending.done),
             ),
         )
@@ -298,7 +298,7 @@
     async def _review_forever(self) -> None:
         while True:
             await asyncio.sleep(REVIEW_S)
-            self.hand_again(after_s=HAND_AGAIN_S)
+            self.resubmit(after_s=HAND_AGAIN_S)
             for pending in list(self._pending_by_id.values()):
                 if self._is_heard(pending.cell):
                     continue
@@ -311,7 +311,7 @@
         heard = self._channel.silence_s(cell) < OWNERLESS_S
         return heard and bool(self._channel.fence(cell))
 
-    def hand_again(self, *, after_s: float) -> None:
+    def resubmit(self, *, after_s: float) -> None:
         """Hand jobs in once more that their owner may not know (any more).
 
         :param after_s: only those that were handed in longer ago.
@@ -333,5 +333,5 @@
         """
         slo_s = pending.request.slo_s()
         if self._channel.silence_s(pending.cell) < OWNERLESS_S:
-            return slo_s * LATEST_OBJECTIVES - pending.request.chain_ms() / 1000
+            return slo_s * ANSWER_EXPIRY_OBJECTIVES - pending.request.critical_path_ms() / 1000
         return max(REVIEW_S, slo_s / 4)
--- a/zincwell/dispatch/_cell_board.py
+++ b/zincwell/dispatch/_cell_directory.py
@@ -12,10 +12,10 @@
 from zincwell.dispatch._messages import CellReport
 from zincwell.dispatch._types import EntryInfo, JobRequest
 from zincwell.dispatch.decisions import (
-    SUSPECT_S,
+    SUSPECT_AFTER_S,
     CellState,
     choose_other_cell,
-    is_served_at_home,
+    should_use_home_cell,
 )
 
 log = logging.getLogger("zincwell.cells")
@@ -39,7 +39,7 @@
     made_at: float = -math.inf
 
 
-class CellBoard:
+class CellDirectory:
     """Keeps the layout and the newest word of each cell, and says where a job should go."""
 
     def __init__(self, *, me: EntryInfo) -> None:
@@ -140,7 +140,7 @@
         refused = set(refused_by)
         home = self.home.name
         home_state = self._state_of(home, home_silence_s)
-        if home not in refused and is_served_at_home(home_state):
+        if home not in refused and should_use_home_cell(home_state):
             return home
         others = {
             cell.name: self._state_of(cell.name, self.silence_s(cell.name))
@@ -148,7 +148,9 @@
             if cell.name not in refused
         }
         cpu = sum(step.count * step.cpu for step in request.steps)
-        can_wait = home not in refused and home_silence_s < SUSPECT_S and home_state.has_workers()
+        can_wait = (
+            home not in refused and home_silence_s < SUSPECT_AFTER_S and home_state.has_workers()
+        )
         home_wait_s = home_state.backlog_s if can_wait else math.inf
         chosen = choose_other_cell(request.id, cpu, others, home_wait_s=home_wait_s)
         if chosen is not None:
--- a/zincwell/dispatch/_configurations.py
+++ b/zincwell/dispatch/_configurations.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
+from zincwell.dispatch._background import BackgroundTasks
 from zincwell.dispatch._metrics import Metrics
-from zincwell.dispatch._tasks import TaskGroup
 from zincwell.dispatch._types import Configuration, EntryInfo
 from zincwell.dispatch.ports import PeerCallError, PeerClient
 
@@ -24,7 +24,7 @@
 COPY_TIMEOUT_S = 0.6
 
 
-class ConfigurationKeeper:
+class ConfigurationManager:
     """Puts newer documents in force, never older ones, and fetches what the store does not bring.
 
     Copies are fetched, one at a time, by the entry that needs one. Sent by all that saw an entry
@@ -44,7 +44,7 @@
         self._behind = asyncio.Event()
         self._encoded = b""
         self._loop = asyncio.get_running_loop()
-        self._tasks = TaskGroup()
+        self._tasks = BackgroundTasks()
         self._tasks.spawn(self._catch_up_forever())
 
     def close(self) -> None:
@@ -55,7 +55,7 @@
         """Return the newest version that this entry knows, 0 if none."""
         return self.current.version if self.current else 0
 
-    def take(self, configuration: Configuration, *, source: str) -> None:
+    def apply(self, configuration: Configuration, *, source: str) -> None:
         """Put a document in force unless a newer one was seen; never go back."""
         if configuration.version <= self.version():
             return
@@ -105,4 +105,4 @@
         except PeerCallError as error:
             log.info('configuration_not_copied entry=%s error="%s"', entry.name, error)
             return
-        self.take(configuration, source=entry.name)
+        self.apply(configuration, source=entry.name)
--- a/zincwell/dispatch/_directory.py
+++ b/zincwell/dispatch/_directory.py
@@ -8,8 +8,8 @@
 from collections import Counter
 from collections.abc import Callable, Collection
 
-from zincwell.dispatch._domains import DOMAIN_SILENT_S
-from zincwell.dispatch._messages import Hello, Receipt
+from zincwell.dispatch._domains import DOMAIN_TIMEOUT_S
+from zincwell.dispatch._messages import Ping, Receipt
 from zincwell.dispatch._peers import LinkObserver, PeerLink
 from zincwell.dispatch._types import EntryInfo
 from zincwell.dispatch.ports import PeerClient
@@ -26,7 +26,7 @@
     """Knows all entries, this one included, and opens links to the others.
 
     :param clock: this entry's clock; it counts the time that the VM was suspended.
-    :param is_fellow: tells whether an entry belongs to the own cell.
+    :param is_cell_member: tells whether an entry belongs to the own cell.
     """
 
     def __init__(
@@ -36,9 +36,9 @@
         client: PeerClient,
         observer: LinkObserver,
         clock: Callable[[], float],
-        is_fellow: Callable[[EntryInfo], bool] = lambda entry: True,
+        is_cell_member: Callable[[EntryInfo], bool] = lambda entry: True,
     ) -> None:
-        self._is_fellow = is_fellow
+        self._is_cell_member = is_cell_member
         self.entries_by_name: dict[str, EntryInfo] = {me.name: me}
         self.links_by_name: dict[str, PeerLink] = {}
         self._me = me
@@ -82,16 +82,16 @@
 
     def _replaces(self, entry: EntryInfo, known: EntryInfo, named: bool) -> bool:
         if entry.registered >= 0 and known.registered >= 0:
-            return entry.is_later_life(known)
+            return entry.is_newer_incarnation(known)
         return not named and entry.incarnation not in self._past_by_name.get(entry.name, ())
 
-    def is_past(self, entry: EntryInfo) -> bool:
+    def is_superseded(self, entry: EntryInfo) -> bool:
         """Return whether a later life of an entry is known."""
         known = self.entries_by_name.get(entry.name)
         if known is None or known.incarnation == entry.incarnation:
             return False
         past = entry.incarnation in self._past_by_name.get(entry.name, ())
-        return past or known.is_later_life(entry)
+        return past or known.is_newer_incarnation(entry)
 
     def _set(self, entry: EntryInfo) -> None:
         log.info("entry_seen entry=%s address=%s", entry.name, entry.address)
@@ -123,13 +123,13 @@
             self.links_by_name[entry.name] = link
         return link
 
-    def fellows(self) -> list[EntryInfo]:
+    def cell_members(self) -> list[EntryInfo]:
         """Return the entries of the own cell, this one included."""
-        return [entry for entry in self.entries_by_name.values() if self._is_fellow(entry)]
+        return [entry for entry in self.entries_by_name.values() if self._is_cell_member(entry)]
 
     def idle_links(self) -> list[PeerLink]:
         """Return the links to all other entries of the cell that have nothing to deliver."""
-        links = [self.link(entry) for entry in self.fellows() if entry.name != self._me.name]
+        links = [self.link(entry) for entry in self.cell_members() if entry.name != self._me.name]
         return [link for link in links if link.is_idle()]
 
     def close_links_but_to(self, owners: Collection[str]) -> None:
@@ -138,13 +138,13 @@
         Entries that once belonged to one cell would keep a connection to each other.
         """
         for name, link in list(self.links_by_name.items()):
-            if name not in owners and link.is_idle() and not self._is_fellow(link.peer):
+            if name not in owners and link.is_idle() and not self._is_cell_member(link.peer):
                 del self.links_by_name[name]
                 link.close()
 
     def known(self) -> list[EntryInfo]:
         """Return the cell's entries that are not known to be gone, this one included."""
-        return [entry for entry in self.fellows() if not self._is_gone(entry)]
+        return [entry for entry in self.cell_members() if not self._is_gone(entry)]
 
     def _is_gone(self, entry: EntryInfo) -> bool:
         link = self.links_by_name.get(entry.name)
@@ -159,7 +159,7 @@
         now = self._loop.time()
         for link in self.idle_links():
             if now - link.last_receipt_at > PROBE_AGAIN_S:
-                link.send(Hello())
+                link.send(Ping())
 
     def fresh_receipts(self, cell: str, age_s: float) -> list[Receipt]:
         """Return acknowledgements of a cell's entries that are younger than an age."""
@@ -176,12 +176,12 @@
         alive = [
             link
             for link in self.links_by_name.values()
-            if self._is_fellow(link.peer)
+            if self._is_cell_member(link.peer)
             and link.last_receipt is not None
             and not link.last_receipt.leaving
-            and link.silence_s() < DOMAIN_SILENT_S
+            and link.silence_s() < DOMAIN_TIMEOUT_S
         ]
-        alive.sort(key=lambda link: link.peer.rank_as_owner())
+        alive.sort(key=lambda link: link.peer.owner_preference_key())
         return [link.peer.name for link in alive]
 
     def first_successors(self, per_domain: int) -> list[EntryInfo]:
--- a/zincwell/dispatch/_domains.py
+++ b/zincwell/dispatch/_domains.py
@@ -10,13 +10,13 @@
 import math
 from collections.abc import Iterable
 
-from zincwell.dispatch._messages import Beat
+from zincwell.dispatch._messages import OwnerHeartbeat
 from zincwell.dispatch._peers import PeerLink
 from zincwell.dispatch._types import EntryInfo
 
 # Entries of a failure domain that are all silent for this long are taken to be cut off. Their
 # jobs are stopped, since a stand-in there starts them again 1.4 s after its take-over.
-DOMAIN_SILENT_S = 0.6
+DOMAIN_TIMEOUT_S = 0.6
 # After a domain is heard again, or the list of workers can be read again, its entries hand their
 # jobs over and its workers are listed anew within this many seconds.
 DOMAIN_BACK_S = 3.0
@@ -25,7 +25,7 @@
 UNINFORMED_S = 1.5
 
 
-class DomainWatch:
+class DomainMonitor:
     """Knows when an entry of some failure domain was last out of hearing.
 
     An owner sees it itself; the others learn it from the owner's heartbeats, so that a successor
@@ -40,7 +40,7 @@
         self._beat_at = -math.inf
         self._elected_at = 0.0
 
-    def note_beat(self, beat: Beat, *, delay_s: float) -> None:
+    def note_heartbeat(self, beat: OwnerHeartbeat, *, delay_s: float) -> None:
         """Take over what the owner that this entry follows knows.
 
         :param delay_s: how long ago the owner knew it. One that waited behind a cut says nothing
@@ -58,26 +58,26 @@
         """
         self._missed_at = self._loop.time()
 
-    def note_elected(self, *, extended: bool) -> None:
+    def note_elected(self, *, was_owner: bool) -> None:
         """Begin a term as owner.
 
-        :param extended: the entry was owner or stand-in before and has watched all the while.
+        :param was_owner: the entry was owner or stand-in before and has watched all the while.
         """
         self._elected_at = self._loop.time()
-        if not extended and self._elected_at - self._beat_at > UNINFORMED_S:
+        if not was_owner and self._elected_at - self._beat_at > UNINFORMED_S:
             self._missed_at = self._elected_at
 
     def complete_s(self) -> float:
         """Return for how long no domain has been out of hearing."""
         return self._loop.time() - self._missed_at
 
-    def hears_all(self, entries: Iterable[EntryInfo], links: Iterable[PeerLink]) -> bool:
+    def reaches_all(self, entries: Iterable[EntryInfo], links: Iterable[PeerLink]) -> bool:
         """Return whether an entry of each domain answers in this term, and has for a while."""
         zones = {entry.zone for entry in entries} - {self._me.zone}
         heard = {
             link.peer.zone
             for link in links
-            if link.last_receipt_at >= self._elected_at and link.silence_s() < DOMAIN_SILENT_S
+            if link.last_receipt_at >= self._elected_at and link.silence_s() < DOMAIN_TIMEOUT_S
         }
         return not zones - heard and self.complete_s() > DOMAIN_BACK_S
 
@@ -90,7 +90,7 @@
             if entry.zone == self._me.zone:
                 continue
             link = links_by_name.get(entry.name)
-            silent = link is not None and link.silence_s() > DOMAIN_SILENT_S
+            silent = link is not None and link.silence_s() > DOMAIN_TIMEOUT_S
             silent_by_domain[entry.zone] = silent and silent_by_domain.get(entry.zone, True)
         cut_off = {zone for zone, silent in silent_by_domain.items() if silent}
         if cut_off:
--- a/zincwell/dispatch/_election.py
+++ b/zincwell/dispatch/_election.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
+from zincwell.dispatch._background import BackgroundTasks
 from zincwell.dispatch._cells import LAYOUT_KEY, WHOLE_POOL, Cell
-from zincwell.dispatch._messages import Beat, Receipt
-from zincwell.dispatch._tasks import TaskGroup
+from zincwell.dispatch._messages import OwnerHeartbeat, Receipt
 from zincwell.dispatch._types import EntryInfo, OwnerClaim
 from zincwell.dispatch.ports import (
     Store,
@@ -35,7 +35,7 @@
 # Entries ask each other whether they hear the owner after this much silence, and one of them
 # claims after the second one. Heartbeats come every 0.1 s; leases last 1 s, of which 0.25 s may
 # have passed at the last heartbeat, so 0.45 s leaves time to claim, hold and adopt what runs.
-SUSPECT_S = 0.3
+SUSPECT_AFTER_S = 0.3
 SILENCE_S = 0.45
 # With too few entries answering, the store is asked after this much silence: early, since a
 # silent connection to it takes 0.6 s to show.
@@ -57,7 +57,7 @@
 # the owner does not write to the store either.
 MINORITY_SILENCE_S = 2.0
 # The owner shows the store this often that it lives; twice that without a sign means it does not.
-LIVENESS_S = 1.0
+LIVENESS_INTERVAL_S = 1.0
 LIVENESS_LOST_S = 2.2
 # Receipts older than this say nothing about now.
 FRESH_S = 0.3
@@ -75,7 +75,7 @@
 CLAIM_TURN_S = 0.006
 
 
-def make_fence(offset: int, place: int = 0) -> int:
+def make_fencing_token(offset: int, place: int = 0) -> int:
     """Return the fencing token of a claim, or of the member at a place (from 1) of its list."""
     return (offset + 1) * FENCES_PER_CLAIM + place
 
@@ -88,7 +88,7 @@
         """Take note of the newest layout of the cells, which may end this election."""
 
     @abc.abstractmethod
-    async def divide_first(self) -> bool:
+    async def create_initial_layout(self) -> bool:
         """Divide a pool that nobody has owned yet, if it needs several owners; return if so."""
 
     @abc.abstractmethod
@@ -100,7 +100,7 @@
         """Follow another entry as owner."""
 
     @abc.abstractmethod
-    def on_owner_heard(self) -> None:
+    def on_owner_contact(self) -> None:
         """Take note of the first sign of the owner that is followed."""
 
     @abc.abstractmethod
@@ -166,7 +166,7 @@
         self._liveness_end: int | None = None
         self._liveness_moved_at = self._loop.time()
         self._liveness_read_at = 0.0
-        self._tasks = TaskGroup()
+        self._tasks = BackgroundTasks()
         self._tasks.spawn(self._run())
 
     def close(self) -> None:
@@ -180,11 +180,11 @@
             return 0.0
         return max(0.0, self._loop.time() - self._heard_at)
 
-    def has_heard_owner(self) -> bool:
+    def has_owner_contact(self) -> bool:
         """Return whether a sign of the owner itself has come, not just a record in the store."""
         return self.is_owner() or self._sign_at > -math.inf
 
-    def unheard_s(self) -> float:
+    def owner_contact_age_s(self) -> float:
         """Return for how long no sign of the owner has come; at most `NEVER_HEARD_S`."""
         if self.is_owner():
             return 0.0
@@ -201,7 +201,7 @@
         if claim is None or offset <= self._claim_offset:
             return
         self._claim, self._claim_offset = claim, offset
-        fence = make_fence(offset)
+        fence = make_fencing_token(offset)
         log.info("claim_seen offset=%d owner=%s fence=%d", offset, claim.owner.name, fence)
         if fence <= self.fence:
             return
@@ -211,7 +211,7 @@
         else:
             self._follow(claim.owner, fence, "")
 
-    def note_owner_gone(self) -> None:
+    def note_owner_restarted(self) -> None:
         """Take note that a later life of the owner's VM is known, so the owner is gone.
 
         After a restart of all VMs the newest claim names a process that is no more. Waiting for
@@ -224,7 +224,7 @@
         self._gone = owner.incarnation
         self._heard_at = min(self._heard_at, self._loop.time() + self._turn_s - SILENCE_S)
 
-    def note_beat(self, beat: Beat) -> None:
+    def note_heartbeat(self, beat: OwnerHeartbeat) -> None:
         """Take note of an owner's heartbeat."""
         if beat.cell != self.cell.name:
             # Sent under another layout, which one side has not heard of yet.
@@ -272,11 +272,11 @@
 
     def _note_sign(self) -> None:
         """Take note of a sign of life of the owner."""
-        first = not self.has_heard_owner()
+        first = not self.has_owner_contact()
         self._sign_at = self._loop.time()
         self._heard_at = max(self._heard_at, self._sign_at)
         if first:
-            self._observer.on_owner_heard()
+            self._observer.on_owner_contact()
 
     def step_down(self) -> None:
         """Give no more orders; another owner has been seen at a worker."""
@@ -318,7 +318,7 @@
             return
         if self.domain:
             quiet_s = self._loop.time() - self._other_owner_heard_at
-            if quiet_s > LIVENESS_S:
+            if quiet_s > LIVENESS_INTERVAL_S:
                 await self._claim_if_unclaimed()
                 await asyncio.sleep(CLAIM_PAUSE_S)
             return
@@ -339,7 +339,7 @@
             if self.rank() * 2 * RANK_DELAY_S <= self._loop.time() - self._leaving_since:
                 await self._claim_pool()
             return
-        if silence_s < SUSPECT_S:
+        if silence_s < SUSPECT_AFTER_S:
             return
         if not self._was_never_owned():
             self._observer.probe()
@@ -363,7 +363,7 @@
         """Return this entry's place among those that may take over; 0 is the first."""
         if self.me.name in self.successors:
             return min(self.successors.index(self.me.name), MAX_RANK)
-        entries = sorted(self._observer.known_entries(), key=EntryInfo.rank_as_owner)
+        entries = sorted(self._observer.known_entries(), key=EntryInfo.owner_preference_key)
         names = [entry.name for entry in entries]
         place = names.index(self.me.name) if self.me.name in names else len(names)
         return min(place + len(self.successors), MAX_RANK)
@@ -390,7 +390,7 @@
         if self.owner is None:
             return False
         return any(
-            receipt.fence >= self.fence and receipt.owner_silence_s < SUSPECT_S
+            receipt.fence >= self.fence and receipt.owner_silence_s < SUSPECT_AFTER_S
             for receipt in self._observer.fresh_receipts(FRESH_S)
         )
 
@@ -413,7 +413,7 @@
 
     async def _owner_writes(self) -> bool:
         """Return whether the store has had a sign of life of an owner lately."""
-        if self._loop.time() - self._liveness_read_at > LIVENESS_S / 2:
+        if self._loop.time() - self._liveness_read_at > LIVENESS_INTERVAL_S / 2:
             await self._read_liveness()
             self._liveness_read_at = self._loop.time()
         if self._store_failed:
@@ -450,7 +450,7 @@
         place = incarnations.index(self.me.incarnation) + 1
         place += self._stand_in_round * (len(incarnations) + 1)
         if place < FENCES_PER_CLAIM:
-            self._become(make_fence(self._claim_offset, place), self.me.zone)
+            self._become(make_fencing_token(self._claim_offset, place), self.me.zone)
 
     async def _claim_pool(self) -> None:
         """Try to append a claim, and follow whatever claim is the newest.
@@ -461,7 +461,7 @@
         to wait, nor is it one to give up.
         """
         known = self._claim_offset
-        if known < 0 and self.cell is WHOLE_POOL and await self._observer.divide_first():
+        if known < 0 and self.cell is WHOLE_POOL and await self._observer.create_initial_layout():
             return
         for _ in range(CLAIM_TRIES):
             if not await self._try_claim(known):
@@ -505,7 +505,7 @@
         """
         members: list[EntryInfo] = []
         chosen: Counter[str] = Counter()
-        for entry in sorted(self._observer.known_entries(), key=EntryInfo.rank_as_owner):
+        for entry in sorted(self._observer.known_entries(), key=EntryInfo.owner_preference_key):
             if chosen[entry.zone] < MEMBERS_PER_DOMAIN:
                 chosen[entry.zone] += 1
                 members.append(entry)
--- a/zincwell/dispatch/_evacuations.py
+++ b/zincwell/dispatch/_evacuations.py
@@ -11,7 +11,7 @@
 log = logging.getLogger("zincwell.evacuation")
 
 
-class EvacuationKeeper:
+class EvacuationTracker:
     """Keeps the newest account of the evacuations, from the store or from another entry.
 
     An evacuation is a state that lasts until operators take it back, so it must outlive owners
@@ -32,7 +32,7 @@
         """The evacuated failure domains."""
         return self.current.domains
 
-    def account(self) -> Evacuations | None:
+    def state_to_share(self) -> Evacuations | None:
         """Return what other entries should be told, None if nobody has heard of an evacuation.
 
         Once one has been heard of, its end must be told as well: an entry that the store does not
@@ -40,11 +40,11 @@
         """
         return self.current if self._is_news else None
 
-    def take_from_store(self, domains: Iterable[str], *, place: int) -> None:
+    def update_from_store(self, domains: Iterable[str], *, offset: int) -> None:
         """Take over all evacuations that the store lists up to a place in its log."""
-        self._take(Evacuations(place=place, domains=sorted(domains)), source="store")
+        self._take(Evacuations(place=offset, domains=sorted(domains)), source="store")
 
-    def note_account(self, account: Evacuations | None, *, entry: str) -> None:
+    def update_from_peer(self, account: Evacuations | None, *, entry: str) -> None:
         """Take note of what another entry knows."""
         if account is None:
             return
--- a/zincwell/dispatch/_feeds.py
+++ b/zincwell/dispatch/_feeds.py
@@ -7,7 +7,7 @@
 import math
 from collections.abc import Callable
 
-from zincwell.dispatch._tasks import TaskGroup
+from zincwell.dispatch._background import BackgroundTasks
 from zincwell.dispatch.ports import (
     RecordsGoneError,
     Store,
@@ -37,7 +37,7 @@
     :param wait_s: how long the store may wait for a record before it answers.
     :param pause_s: how long to wait between two reads.
     :param clock: a steady clock that counts the time that the VM was suspended.
-    :ivar place: up to where in the store's log the topic is known, -1 before the first read.
+    :ivar offset: up to where in the store's log the topic is known, -1 before the first read.
     :ivar read_at: when a reading was asked for that reached the end of the topic, by the clock;
         minus infinity before the first. Its answer may have been long on its way.
     :ivar wanted: whether to read at all; while it is not, what is known grows old.
@@ -59,7 +59,7 @@
         self.pause_s = pause_s
         self.wanted = wanted
         self.read_at = -math.inf
-        self.place = -1
+        self.offset = -1
         self._store = store
         self._topic = topic
         self._on_change = on_change
@@ -72,7 +72,7 @@
         # Whether the last reading reached the end of the topic.
         self._complete = True
         self._loop = asyncio.get_running_loop()
-        self._tasks = TaskGroup()
+        self._tasks = BackgroundTasks()
         self._tasks.spawn(self._follow_forever())
 
     def close(self) -> None:
@@ -137,7 +137,7 @@
 
     def _note_read(self, page: StorePage, asked_at: float) -> None:
         """Note the reading before its records are offered: who takes them asks how old they are."""
-        self._next = self.place = page.end
+        self._next = self.offset = page.end
         self._complete = page.complete
         if page.complete:
             self.read_at = asked_at
--- a/zincwell/dispatch/_health.py
+++ b/zincwell/dispatch/_health.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 from zincwell.dispatch._metrics import Metrics
-from zincwell.dispatch._runs import Run, RunFate
-from zincwell.dispatch._worker import WorkerSession
+from zincwell.dispatch._runs import Run, RunOutcome
+from zincwell.dispatch._worker_session import WorkerSession
 from zincwell.dispatch.decisions import (
     SLOW_WORKER,
     is_slow_run,
@@ -31,11 +31,11 @@
 MAX_SHARE_SLOW = 0.5
 
 
-class WorkerJudge:
+class WorkerHealthMonitor:
     """Sets workers aside by what becomes of their runs.
 
     :param sessions_by_id: the owner's workers.
-    :param on_room: called when a worker that was set aside may be tried again.
+    :param on_capacity_available: called when a worker that was set aside may be tried again.
     :param expect_s: returns how long the task of a run takes on a usual worker.
     :param moves_of: returns how often the task of a run was moved already.
     """
@@ -44,42 +44,42 @@
         self,
         *,
         sessions_by_id: dict[str, WorkerSession],
-        on_room: Callable[[], None],
+        on_capacity_available: Callable[[], None],
         expect_s: Callable[[WorkerSession, Run], float],
         moves_of: Callable[[Run], int],
         metrics: Metrics,
     ) -> None:
         self._sessions_by_id = sessions_by_id
-        self._on_room = on_room
+        self._on_room = on_capacity_available
         self._expect_s = expect_s
         self._moves_of = moves_of
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
-    def note_end(self, session: WorkerSession, run: Run, fate: RunFate) -> None:
+    def note_end(self, session: WorkerSession, run: Run, outcome: RunOutcome) -> None:
         """Set a worker aside that fails what others do.
 
         A worker that fails everything at once looks idle and would draw the whole queue. Failures
         of one job count once, so that a job that can't be done does not set workers aside.
         """
-        if fate is RunFate.DONE:
+        if outcome is RunOutcome.DONE:
             session.failed_jobs.clear()
             return
-        if fate is not RunFate.FAILED:
+        if outcome is not RunOutcome.FAILED:
             return
         session.failed_jobs.add(run.task.job)
         if len(session.failed_jobs) < FAILURES_TO_SET_ASIDE:
             return
         now = self._loop.time()
-        aside = sum(1 for other in self._sessions_by_id.values() if other.aside_until > now)
+        aside = sum(1 for other in self._sessions_by_id.values() if other.quarantined_until > now)
         if aside + 1 > MAX_SHARE_ASIDE * len(self._sessions_by_id):
             return
         self._metrics.count("workers_set_aside", 'reason="failing"')
         log.warning("worker_set_aside worker=%s reason=failing", session.info.id)
-        session.aside_until = now + SET_ASIDE_S
+        session.quarantined_until = now + SET_ASIDE_S
         self._loop.call_later(SET_ASIDE_S, self._on_room)
 
-    def look_at(self, session: WorkerSession, clock_ms: int) -> None:
+    def check_progress(self, session: WorkerSession, clock_ms: int) -> None:
         """Set a worker aside that is slow or stands still, and move what pays to be moved.
 
         :param clock_ms: when it showed its runs, on its own clock.
@@ -88,7 +88,7 @@
         stalled = [
             run
             for run in runs
-            if is_stalled(still_s=run.still_s(clock_ms), expected_s=run.expected_s)
+            if is_stalled(stalled_s=run.stalled_s(clock_ms), expected_s=run.expected_s)
         ]
         if stalled:
             self._set_slow_aside(session, "stalled")
@@ -102,16 +102,16 @@
 
     def note_done(self, session: WorkerSession, ratio: float) -> None:
         """Take note of how many times longer than expected a run took that ended well."""
-        if not session.on_trial:
+        if not session.on_probation:
             return
         if ratio < SLOW_WORKER:
-            session.on_trial = False
+            session.on_probation = False
             log.info("worker_well worker=%s ratio=%.1f", session.info.id, ratio)
         else:
             self._set_slow_aside(session, "slow")
 
     def _ratio_of(self, session: WorkerSession, run: Run) -> float | None:
-        total_s = run.project_s()
+        total_s = run.projected_total_s()
         if total_s is None or not run.expected_s:
             return None
         ratio = total_s / run.expected_s
@@ -140,13 +140,13 @@
 
     def _set_slow_aside(self, session: WorkerSession, reason: str) -> bool:
         now = self._loop.time()
-        if session.aside_until > now:
+        if session.quarantined_until > now:
             return True
-        slow = sum(1 for other in self._sessions_by_id.values() if other.on_trial)
-        if not session.on_trial and slow + 1 > MAX_SHARE_SLOW * len(self._sessions_by_id):
+        slow = sum(1 for other in self._sessions_by_id.values() if other.on_probation)
+        if not session.on_probation and slow + 1 > MAX_SHARE_SLOW * len(self._sessions_by_id):
             return False
         self._metrics.count("workers_set_aside", f'reason="{reason}"')
         log.warning("worker_set_aside worker=%s reason=%s", session.info.id, reason)
-        session.set_aside(until=now + SLOW_ASIDE_S)
+        session.quarantine(until=now + SLOW_ASIDE_S)
         self._loop.call_later(SLOW_ASIDE_S, self._on_room)
         return True
--- a/zincwell/dispatch/_job_book.py
+++ b/zincwell/dispatch/_job_registry.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Callable
 
-from zincwell.dispatch._jobs import AnswerMemory, Job
+from zincwell.dispatch._jobs import AnswerCache, Job
 from zincwell.dispatch._metrics import Metrics
 from zincwell.dispatch._types import JobRequest, Outcome, Verdict
 
@@ -16,7 +16,7 @@
 RETRY_AFTER_S = 1.0
 
 
-class JobBook:
+class JobRegistry:
     """Opens and ends jobs, and tells the entries that wait for them.
 
     :param on_ended: called with each job that has ended, to stop what still runs of it.
@@ -33,11 +33,13 @@
         self.jobs_by_id: dict[str, Job] = {}
         self._on_ended = on_ended
         self._answer = answer
-        self._answers = AnswerMemory()
+        self._answers = AnswerCache()
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
-    def open(self, request: JobRequest, *, entry: str, age_s: float, exposed: bool) -> Job | None:
+    def open(
+        self, request: JobRequest, *, entry: str, age_s: float, possibly_started: bool
+    ) -> Job | None:
         """Return a new job, or None if it is open or was answered: then one more entry waits."""
         answer = self._answers.get(request.id)
         if answer is not None:
@@ -50,7 +52,12 @@
             job.waiting_for.add(entry)
             return None
         now = self._loop.time()
-        job = Job(request=request, arrived_at=now - age_s, exposed=exposed, taken_at=now)
+        job = Job(
+            request=request,
+            arrived_at=now - age_s,
+            possibly_started=possibly_started,
+            accepted_at=now,
+        )
         job.waiting_for.add(entry)
         self.jobs_by_id[request.id] = job
         return job
@@ -79,7 +86,7 @@
 
     def refuse(self, job: Job, reason: str, *, retry_after_s: float = RETRY_AFTER_S) -> None:
         """Answer a job that this owner has not started, with a time to come back."""
-        verdict = Verdict.UNKNOWN if job.exposed else Verdict.REFUSED
+        verdict = Verdict.UNKNOWN if job.possibly_started else Verdict.REFUSED
         outcome = Outcome(verdict=verdict, reason=reason, retry_after_s=retry_after_s)
         self.end(job, outcome, remember=False)
 
--- a/zincwell/dispatch/_jobs.py
+++ b/zincwell/dispatch/_jobs.py
@@ -30,7 +30,7 @@
     failures: int = 0
     runs: int = 0
     moves: int = 0
-    avoid: set[str] = field(default_factory=set)
+    avoided_workers: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -39,17 +39,18 @@
 
     :param arrived_at: when its caller's request came, on this entry's clock.
     :param waiting_for: names of the entries whose callers wait for it.
-    :param exposed: an earlier owner may have started tasks of it.
-    :param taken_at: when this owner got it, on this entry's clock.
+    :param possibly_started: an earlier owner may have started tasks of it.
+    :param accepted_at: when this owner got it, on this entry's clock.
     :param queued_in: the list of the queue in which it waits, or None.
     :param fits_workers_of: version of the owner's workers that were found large enough for it.
-    :param run_s_by_step: shortest time that a task of a step took, for steps with one that is done.
+    :param min_run_s_by_step: shortest time that a task of a step took, for steps with one that is
+        done.
     """
 
     request: JobRequest
     arrived_at: float
-    exposed: bool
-    taken_at: float
+    possibly_started: bool
+    accepted_at: float
     waiting_for: set[str] = field(default_factory=set)
     tasks: list[list[Task]] = field(default_factory=list)
     left: list[int] = field(default_factory=list)
@@ -61,7 +62,7 @@
     smallest_cpu: int = 0
     queued_in: list[Job] | None = None
     fits_workers_of: int = -1
-    run_s_by_step: dict[int, float] = field(default_factory=dict)
+    min_run_s_by_step: dict[int, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         """Make the tasks of all steps."""
@@ -70,7 +71,7 @@
             self.tasks.append([Task(id=task_id) for task_id in ids])
             self.left.append(step.count)
         self.waiting = sum(self.left)
-        self.estimate_s = self.request.chain_ms() / 1000
+        self.estimate_s = self.request.critical_path_ms() / 1000
         self.slo_s = self.request.slo_s()
         self.smallest_cpu = min(step.cpu for step in self.request.steps)
 
@@ -120,7 +121,7 @@
         return not any(self.left)
 
 
-class AnswerMemory:
+class AnswerCache:
     """Answers of ended jobs, for resends of requests that were answered already.
 
     A resend that comes seconds after the answer would run everything again; it gets the same
--- a/zincwell/dispatch/_listing.py
+++ b/zincwell/dispatch/_known_workers.py
@@ -11,7 +11,7 @@
 LAPSED_S = 5.0
 
 
-class WorkerListing:
+class KnownWorkers:
     """What is known of the workers, whether or not this entry is owner."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
             if worker_id not in listed and now - at < LAPSED_S
         }
 
-    def lapsed_lately(self) -> list[WorkerInfo]:
+    def recently_lapsed(self) -> list[WorkerInfo]:
         """Return workers that have left the list without a word and may be at work all the same."""
         now = self._loop.time()
         return [
--- a/zincwell/dispatch/_layout_keeper.py
+++ b/zincwell/dispatch/_layout_manager.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from zincwell.dispatch._cell_board import CellBoard
+from zincwell.dispatch._cell_directory import CellDirectory
 from zincwell.dispatch._cells import LAYOUT_KEY, make_layout
 from zincwell.dispatch._types import EntryInfo, WorkerInfo
 from zincwell.dispatch.decisions import CellShape, DomainSize, plan_cells
@@ -23,7 +23,7 @@
 
 log = logging.getLogger("zincwell.cells")
 
-LOOK_S = 0.5
+LAYOUT_CHECK_INTERVAL_S = 0.5
 # A plan must stay the same for this many seconds before it is carried out. After a start, workers
 # and entries are listed within two. Cells are joined much later: during an outage of the store
 # workers lapse in the list, and are back only some seconds after it.
@@ -31,25 +31,30 @@
 JOIN_AFTER_S = 60.0
 
 
-class LayoutKeeper:
+class LayoutManager:
     """Looks whether the layout fits the pool, as the owner of the first cell.
 
     :param on_layout: called with the record of a new layout.
     """
 
     def __init__(
-        self, *, me: EntryInfo, store: Store, board: CellBoard, on_layout: Callable[..., None]
+        self,
+        *,
+        me: EntryInfo,
+        store: Store,
+        cell_directory: CellDirectory,
+        on_layout: Callable[..., None],
     ) -> None:
         self._me = me
         self._store = store
-        self._board = board
+        self._cell_directory = cell_directory
         self._on_layout = on_layout
         self._loop = asyncio.get_running_loop()
         self._plan: list[CellShape] = []
         self._entries: list[EntryInfo] = []
         self._planned_at = 0.0
 
-    def is_due(self, *, entries: Iterable[EntryInfo], workers: Iterable[WorkerInfo]) -> bool:
+    def is_change_due(self, *, entries: Iterable[EntryInfo], workers: Iterable[WorkerInfo]) -> bool:
         """Return whether another layout has been the better one for long enough."""
         self._entries = list(entries)
         domains = count_domains(self._entries, workers)
@@ -63,7 +68,7 @@
         more = sum(shape.parts for shape in plan) > sum(shape.parts for shape in current)
         return now - self._planned_at >= (DIVIDE_AFTER_S if more else JOIN_AFTER_S)
 
-    async def divide_first(
+    async def create_initial_layout(
         self, *, entries: Iterable[EntryInfo], workers: Iterable[WorkerInfo]
     ) -> bool:
         """Write the first layout of a pool that nobody owns yet, if it needs several cells.
@@ -74,7 +79,7 @@
         """
         self._entries = list(entries)
         domains = count_domains(self._entries, workers)
-        if not domains or self._board.layout_offset >= 0:
+        if not domains or self._cell_directory.layout_offset >= 0:
             return False
         self._plan = list(plan_cells(domains, ()))
         if sum(shape.parts for shape in self._plan) == 1:
@@ -87,16 +92,16 @@
         everything = tuple(sorted(domains))
         return [
             shape if shape.domains else replace(shape, domains=everything)
-            for shape in self._board.layout.shapes()
+            for shape in self._cell_directory.layout.shapes()
         ]
 
     async def change(self) -> None:
         """Write the planned layout, unless somebody has written to the log meanwhile."""
-        known = self._board.layout_offset
+        known = self._cell_directory.layout_offset
         layout = make_layout(
             self._plan,
             mark=f"{self._me.incarnation[-6:]}-{known + 1}",
-            before=self._board.layout,
+            before=self._cell_directory.layout,
             entries=self._entries,
         )
         value = msgspec.json.encode(layout)
--- a/zincwell/dispatch/_messages.py
+++ b/zincwell/dispatch/_messages.py
@@ -67,7 +67,7 @@
     pending: dict[str, int] = {}
 
 
-class Beat(Struct, frozen=True, kw_only=True, tag="beat", omit_defaults=True):
+class OwnerHeartbeat(Struct, frozen=True, kw_only=True, tag="beat", omit_defaults=True):
     """Owner to entry: heartbeat.
 
     :param fence: fencing token that the owner gives its orders under.
@@ -91,7 +91,7 @@
     reports: list[CellReport] = []
 
 
-class WorkerNews(Struct, frozen=True, kw_only=True, tag="workers", omit_defaults=True):
+class WorkerListSnapshot(Struct, frozen=True, kw_only=True, tag="workers", omit_defaults=True):
     """Owner to owner or successor: the listed workers of your cell.
 
     :param place: place in the store's log up to which the list is known; of two lists the one with
@@ -112,12 +112,20 @@
     offset: int
 
 
-class Hello(Struct, frozen=True, kw_only=True, tag="hello"):
+class Ping(Struct, frozen=True, kw_only=True, tag="hello"):
     """Entry to entry: are you there, and do you hear the owner?"""
 
 
 Message = (
-    Submit | Cancel | TasksDone | JobEnded | CellReport | WorkerNews | LayoutNotice | Beat | Hello
+    Submit
+    | Cancel
+    | TasksDone
+    | JobEnded
+    | CellReport
+    | WorkerListSnapshot
+    | LayoutNotice
+    | OwnerHeartbeat
+    | Ping
 )
 
 
--- a/zincwell/dispatch/_node.py
+++ b/zincwell/dispatch/_node.py
@@ -8,45 +8,45 @@
 
 import msgspec
 
-from zincwell.dispatch._callers import CallerDesk
-from zincwell.dispatch._cell_board import CellBoard
+from zincwell.dispatch._background import BackgroundTasks
+from zincwell.dispatch._callers import PendingJobTracker
+from zincwell.dispatch._cell_directory import CellDirectory
 from zincwell.dispatch._cell_reporter import CellReporter
 from zincwell.dispatch._cells import LAYOUT_KEY, OWNER_KEY, Layout, decode_layout
-from zincwell.dispatch._configurations import ConfigurationKeeper
+from zincwell.dispatch._configurations import ConfigurationManager
 from zincwell.dispatch._directory import EntryDirectory
-from zincwell.dispatch._domains import DomainWatch
+from zincwell.dispatch._domains import DomainMonitor
 from zincwell.dispatch._election import (
-    LIVENESS_S,
-    SUSPECT_S,
+    LIVENESS_INTERVAL_S,
+    SUSPECT_AFTER_S,
     Election,
     ElectionObserver,
     decode_claim,
-    make_fence,
+    make_fencing_token,
 )
-from zincwell.dispatch._evacuations import EvacuationKeeper
+from zincwell.dispatch._evacuations import EvacuationTracker
 from zincwell.dispatch._feeds import TopicFollower
-from zincwell.dispatch._layout_keeper import LOOK_S, LayoutKeeper
+from zincwell.dispatch._layout_manager import LAYOUT_CHECK_INTERVAL_S, LayoutManager
 from zincwell.dispatch._messages import (
-    Beat,
     Cancel,
     CellReport,
     Envelope,
-    Hello,
     JobEnded,
     LayoutNotice,
     Message,
+    OwnerHeartbeat,
+    Ping,
     Receipt,
     Submit,
     TasksDone,
-    WorkerNews,
+    WorkerListSnapshot,
 )
 from zincwell.dispatch._metrics import Metrics
 from zincwell.dispatch._owner import Owner, OwnerListener
+from zincwell.dispatch._owner_lag import OwnerLagDetector
 from zincwell.dispatch._peers import LATE_S, Inbox, LinkObserver, PeerLink
-from zincwell.dispatch._reach import Reach
+from zincwell.dispatch._reachability import ReachabilityMonitor
 from zincwell.dispatch._router import OwnerRouter
-from zincwell.dispatch._slowness import SlownessWatch
-from zincwell.dispatch._tasks import TaskGroup
 from zincwell.dispatch._types import (
     Configuration,
     EntryInfo,
@@ -56,7 +56,7 @@
     Outcome,
 )
 from zincwell.dispatch._worker_list import WorkerList
-from zincwell.dispatch._worker_news import WorkerTeller
+from zincwell.dispatch._worker_list_sender import WorkerListSender
 from zincwell.dispatch.ports import (
     PeerClient,
     Store,
@@ -128,41 +128,43 @@
         self._limits = limits
         self._loop = asyncio.get_running_loop()
         self._clock = clock or self._loop.time
-        self._board = CellBoard(me=me)
+        self._cell_directory = CellDirectory(me=me)
         self._directory = EntryDirectory(
             me=me,
             client=peers,
             observer=self,
             clock=self._clock,
-            is_fellow=lambda entry: self._board.covers(entry.zone, entry.name),
+            is_cell_member=lambda entry: self._cell_directory.covers(entry.zone, entry.name),
+        )
+        self._reporter = CellReporter(
+            cell_directory=self._cell_directory, directory=self._directory
         )
-        self._reporter = CellReporter(board=self._board, directory=self._directory)
         self._router = OwnerRouter(
             me=me,
-            board=self._board,
+            cell_directory=self._cell_directory,
             directory=self._directory,
             handle=lambda message: self._handle(self.me, message),
         )
         self._inbox = Inbox()
         self._metrics = Metrics()
-        self.configurations = ConfigurationKeeper(client=peers, metrics=self._metrics)
-        self.evacuations = EvacuationKeeper(on_change=self._on_evacuations, metrics=self._metrics)
+        self.configurations = ConfigurationManager(client=peers, metrics=self._metrics)
+        self.evacuations = EvacuationTracker(on_change=self._on_evacuations, metrics=self._metrics)
         self._owner: Owner | None = None
-        self._slowness = SlownessWatch()
-        self._layouts = LayoutKeeper(
-            me=me, store=store, board=self._board, on_layout=self.on_layout
+        self._owner_lag = OwnerLagDetector()
+        self._layouts = LayoutManager(
+            me=me, store=store, cell_directory=self._cell_directory, on_layout=self.on_layout
         )
         self._cells_new_until = 0.0
         self._elected_at = 0.0
         self._opened_at = 0.0
         self._beats = 0
-        self._tasks = TaskGroup()
+        self._tasks = BackgroundTasks()
 
     def open(self) -> None:
         """Start to follow the store, to register and to take part."""
         self._opened_at = self._loop.time()
         self._join_cell(at_once=False)
-        self.desk = CallerDesk(channel=self._router, metrics=self._metrics)
+        self.pending_jobs = PendingJobTracker(channel=self._router, metrics=self._metrics)
         self._configuration_feed = TopicFollower(
             store=self._store,
             topic=Topic.CONFIGURATION,
@@ -172,14 +174,16 @@
         )
         self._worker_list = WorkerList(
             store=self._store,
-            board=self._board,
+            cell_directory=self._cell_directory,
             leave_notice_s=self._limits.leave_notice_s,
-            names_service=self._names_service,
+            has_service=self._has_service,
             on_change=self._on_workers,
             clock=self._clock,
         )
-        self._teller = WorkerTeller(
-            board=self._board, directory=self._directory, worker_list=self._worker_list
+        self._worker_list_sender = WorkerListSender(
+            cell_directory=self._cell_directory,
+            directory=self._directory,
+            worker_list=self._worker_list,
         )
         self._watch_domains()
         self._entries_feed = TopicFollower(
@@ -204,10 +208,10 @@
 
     def _watch_domains(self) -> None:
         """Begin to watch which failure domains of the own cell can be heard."""
-        self._domains = DomainWatch(me=self.me)
-        self._reach = Reach(
+        self._domains = DomainMonitor(me=self.me)
+        self._reachability = ReachabilityMonitor(
             me=self.me,
-            board=self._board,
+            cell_directory=self._cell_directory,
             directory=self._directory,
             worker_list=self._worker_list,
             domains=self._domains,
@@ -216,7 +220,7 @@
     def close(self) -> None:
         """Stop everything at once."""
         self.election.close()
-        self.desk.close()
+        self.pending_jobs.close()
         for feed in (
             self._configuration_feed,
             self._worker_list,
@@ -242,7 +246,10 @@
         if self.election.owner is not None and self.election.silence_s() < 1.0:
             return True
         # Without an owner of its own an entry hands its jobs to other cells.
-        return any(self._board.silence_s(cell.name) < 1.0 for cell in self._board.other_cells())
+        return any(
+            self._cell_directory.silence_s(cell.name) < 1.0
+            for cell in self._cell_directory.other_cells()
+        )
 
     def render_metrics(self) -> str:
         """Return counters, histograms and what this entry believes now, as text."""
@@ -252,11 +259,11 @@
             "owner_silence_seconds": self.election.silence_s(),
             "configuration_version": self.configuration_version(),
             "configuration_age_seconds": self._clock() - self._configuration_feed.read_at,
-            "callers_waiting": self.desk.count(),
+            "callers_waiting": self.pending_jobs.count(),
             "entries_known": len(self._directory.entries_by_name),
-            "cells": len(self._board.layout.cells),
+            "cells": len(self._cell_directory.layout.cells),
             "domains_evacuated": len(self.evacuations.domains),
-            "worker_list_age_seconds": self.list_age_s(),
+            "worker_list_age_seconds": self.worker_list_age_s(),
         }
         if self._owner is not None:
             gauges.update(self._owner.gauges())
@@ -268,7 +275,9 @@
         deadline = started + self._limits.drain_grace_s - DRAIN_MARGIN_S
         self.leaving = True
         self.election.leaving = True
-        log.info("draining open_jobs=%d owner=%s", self.desk.count(), self.election.is_owner())
+        log.info(
+            "draining open_jobs=%d owner=%s", self.pending_jobs.count(), self.election.is_owner()
+        )
         while self._loop.time() < deadline:
             await asyncio.sleep(DRAIN_STEP_S)
             lingered = self._loop.time() - started > DRAIN_LINGER_S
@@ -276,14 +285,14 @@
                 # From here on callers on open connections are told to go elsewhere at once. One
                 # that was let in now would be cut off when the process ends.
                 self.refusing = True
-                if not self.desk.count():
+                if not self.pending_jobs.count():
                     break
         self.refusing = True
-        self.desk.give_up_all()
+        self.pending_jobs.give_up_all()
         log.info("drained after_s=%.1f", self._loop.time() - started)
 
     def _must_hand_over(self) -> bool:
-        return self.election.is_owner() and len(self._directory.fellows()) > 1
+        return self.election.is_owner() and len(self._directory.cell_members()) > 1
 
     # -- what the store tells ---------------------------------------------------------------
 
@@ -291,10 +300,10 @@
         values = [r.value for r in self._configuration_feed.records_by_key.values()]
         evacuated = [value.domain for value in values if isinstance(value, Evacuation)]
         # First, or an owner that learns both at once would begin with evacuated workers.
-        self.evacuations.take_from_store(evacuated, place=self._configuration_feed.place)
+        self.evacuations.update_from_store(evacuated, offset=self._configuration_feed.offset)
         for value in values:
             if isinstance(value, Configuration):
-                self.configurations.take(value, source="store")
+                self.configurations.apply(value, source="store")
         self._worker_list.refresh()
 
     def _on_evacuations(self) -> None:
@@ -306,16 +315,16 @@
 
     def evacuations_known(self) -> Evacuations | None:
         """Return what other entries should be told of evacuations."""
-        return self.evacuations.account()
+        return self.evacuations.state_to_share()
 
-    def knows_evacuations(self) -> bool:
+    def has_evacuation_state(self) -> bool:
         """Return whether this entry has heard what operators have in force, from anybody.
 
         Whoever has the document tells the evacuations as well.
         """
         return self.configuration is not None
 
-    async def wait_configured(self) -> Configuration | None:
+    async def wait_for_configuration(self) -> Configuration | None:
         """Return the document in force, waiting for the first one while this entry starts.
 
         After a restart callers come back within milliseconds of the listening, and the document
@@ -334,9 +343,9 @@
         if self._owner is not None:
             self._owner.set_workers(self._worker_list.listed_by_id)
 
-    def _names_service(self, service: str) -> bool:
+    def _has_service(self, service: str) -> bool:
         """Return whether the configuration has a service; before the first, whether it may."""
-        return self.configuration is None or self.configuration.names_service(service)
+        return self.configuration is None or self.configuration.has_service(service)
 
     def _on_entries(self, keys: set[str]) -> None:
         # All entries read what each of them writes; see `PAUSE_PER_ENTRY_S`.
@@ -364,17 +373,19 @@
         if claim is None:
             return
         cell = record.key.partition("/")[2]
-        if cell == self._board.home.name:
+        if cell == self._cell_directory.home.name:
             self.election.note_claim(record.offset, claim)
             return
-        if self._board.note_owner(cell, claim.owner, make_fence(record.offset)):
+        if self._cell_directory.note_owner(cell, claim.owner, make_fencing_token(record.offset)):
             self._directory.note(claim.owner, named=True)
-            self.desk.note_unsent(self._directory.withdraw_jobs(owners=self._router.owner_names()))
-            self.desk.hand_over(cell)
+            self.pending_jobs.note_unsent(
+                self._directory.withdraw_jobs(owners=self._router.owner_names())
+            )
+            self.pending_jobs.submit_pending(cell)
 
     def on_layout(self, record: StoreRecord) -> None:
         """Follow a newer layout of the cells."""
-        if record.offset <= self._board.layout_offset:
+        if record.offset <= self._cell_directory.layout_offset:
             return
         layout = decode_layout(record.value)
         if layout is None:
@@ -383,19 +394,19 @@
         self._follow_layout(record.offset, layout)
 
     def _follow_layout(self, offset: int, layout: Layout) -> None:
-        if offset <= self._board.layout_offset:
+        if offset <= self._cell_directory.layout_offset:
             return
-        home = self._board.home
-        self._board.set_layout(offset, layout)
-        if self._board.home == home:
+        home = self._cell_directory.home
+        self._cell_directory.set_layout(offset, layout)
+        if self._cell_directory.home == home:
             return
         self._cells_new_until = self._loop.time() + CELLS_NEW_S
         self.election.close()
         self._close_owner()
         self._watch_domains()
         self._join_cell(at_once=True)
-        self.desk.bring_home()
-        self.desk.note_unsent(self._directory.withdraw_jobs(owners=()))
+        self.pending_jobs.reassign_to_home_cell()
+        self.pending_jobs.note_unsent(self._directory.withdraw_jobs(owners=()))
         self._directory.close_links_but_to(self._router.owner_names())
         # Other cells may have claimed before this entry heard of the layout.
         for key in list(self._claims_feed.records_by_key):
@@ -409,16 +420,16 @@
             me=self.me,
             store=self._store,
             observer=self,
-            cell=self._board.home,
+            cell=self._cell_directory.home,
             at_once=at_once,
-            turn=self._board.layout.cells.index(self._board.home),
+            turn=self._cell_directory.layout.cells.index(self._cell_directory.home),
         )
         self._router.election = self.election
 
-    async def divide_first(self) -> bool:
+    async def create_initial_layout(self) -> bool:
         """Divide a pool that nobody has owned yet, if it needs several owners."""
         await self._worker_list.read_now(within_s=FIRST_LIST_S)
-        return await self._layouts.divide_first(
+        return await self._layouts.create_initial_layout(
             entries=self._directory.entries_by_name.values(),
             workers=self._worker_list.listed_by_id.values(),
         )
@@ -430,11 +441,11 @@
 
     async def _tend_layout_forever(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
-            first = self._board.layout.cells[0] == self._board.home
+            await asyncio.sleep(LAYOUT_CHECK_INTERVAL_S)
+            first = self._cell_directory.layout.cells[0] == self._cell_directory.home
             if self._owner is None or self._owner.domain is not None or self.leaving or not first:
                 continue
-            due = self._layouts.is_due(
+            due = self._layouts.is_change_due(
                 entries=self._directory.entries_by_name.values(),
                 workers=self._worker_list.listed_by_id.values(),
             )
@@ -451,8 +462,8 @@
     def _check_owner_life(self) -> None:
         """Tell the election if a later life of the owner's VM is known."""
         owner = self.election.owner
-        if owner is not None and self._directory.is_past(owner):
-            self.election.note_owner_gone()
+        if owner is not None and self._directory.is_superseded(owner):
+            self.election.note_owner_restarted()
 
     async def _register(self) -> None:
         value = msgspec.json.encode(self.me)
@@ -474,7 +485,7 @@
         """Handle an envelope of another entry."""
         self._directory.note(envelope.sender)
         self._directory.note_heard(envelope.sender.name)
-        self.evacuations.note_account(envelope.evacuations, entry=envelope.sender.name)
+        self.evacuations.update_from_peer(envelope.evacuations, entry=envelope.sender.name)
         self._check_owner_life()
         self.election.note_owner_alive(envelope.sender.incarnation, envelope.fence)
         late_s = self._inbox.lateness_s(envelope, now=self._clock())
@@ -489,13 +500,13 @@
         return Receipt(
             receiver=self.me,
             fence=self.election.fence,
-            cell=self._board.home.name,
-            layout_offset=self._board.layout_offset,
-            owner_silence_s=self.election.unheard_s(),
-            leaving=self.leaving or self._slowness.rests(self._loop.time()),
+            cell=self._cell_directory.home.name,
+            layout_offset=self._cell_directory.layout_offset,
+            owner_silence_s=self.election.owner_contact_age_s(),
+            leaving=self.leaving or self._owner_lag.is_ineligible(self._loop.time()),
             version=self.configuration_version(),
             late=late,
-            evacuations=self.evacuations.account(),
+            evacuations=self.evacuations.state_to_share(),
         )
 
     def _handle(self, sender: EntryInfo, message: Message, *, delay_s: float = 0.0) -> None:
@@ -506,37 +517,37 @@
         if isinstance(message, Submit):
             self._take_job(sender.name, message)
         elif isinstance(message, JobEnded):
-            self.desk.take_answer(message)
+            self.pending_jobs.handle_answer(message)
         elif isinstance(message, TasksDone):
-            self.desk.note_done(message.job, message.tasks)
+            self.pending_jobs.note_done(message.job, message.tasks)
         elif isinstance(message, Cancel):
             if self._owner is not None:
                 self._owner.jobs.cancel(message.job, entry=sender.name)
         elif isinstance(message, CellReport):
-            self._board.note_report(message, delay_s=delay_s)
-        elif isinstance(message, WorkerNews):
-            self._worker_list.note_news(message, entry=sender.name, delay_s=delay_s)
+            self._cell_directory.note_report(message, delay_s=delay_s)
+        elif isinstance(message, WorkerListSnapshot):
+            self._worker_list.note_snapshot(message, entry=sender.name, delay_s=delay_s)
         elif isinstance(message, LayoutNotice):
             self._follow_layout(message.offset, message.layout)
-        elif isinstance(message, Beat):
+        elif isinstance(message, OwnerHeartbeat):
             self._take_beat(message, delay_s)
 
-    def _take_beat(self, beat: Beat, delay_s: float) -> None:
-        self.election.note_beat(beat)
-        if beat.cell != self._board.home.name:
+    def _take_beat(self, beat: OwnerHeartbeat, delay_s: float) -> None:
+        self.election.note_heartbeat(beat)
+        if beat.cell != self._cell_directory.home.name:
             return
         if self._owner is None and beat.fence >= self.election.fence:
-            self._domains.note_beat(beat, delay_s=delay_s)
+            self._domains.note_heartbeat(beat, delay_s=delay_s)
         for report in beat.reports:
             if report.cell == beat.cell:
-                self._board.note_owner(report.cell, beat.owner, report.fence)
-            self._board.note_report(report, delay_s=delay_s)
+                self._cell_directory.note_owner(report.cell, beat.owner, report.fence)
+            self._cell_directory.note_report(report, delay_s=delay_s)
         self._home_pending = beat.pending
 
     @property
     def pending_by_route(self) -> dict[str, int]:
         """By route, how many jobs of all cells have no task started, as far as known."""
-        counts = self._board.pending_by_route()
+        counts = self._cell_directory.pending_by_route()
         for route, count in self._home_pending.items():
             counts[route] = counts.get(route, 0) + count
         return counts
@@ -550,11 +561,11 @@
             message.job,
             entry=entry,
             age_s=message.age_s,
-            exposed=message.exposed,
+            possibly_started=message.exposed,
             done=message.done,
         )
 
-    def knows_leaving_workers(self) -> bool:
+    def has_usable_worker_list(self) -> bool:
         """Return whether the list of workers is young enough to start tasks by it.
 
         A stand-in does not wait for it: it serves because the store does not answer here.
@@ -565,7 +576,7 @@
         self._worker_list.read_soon()
         return False
 
-    def list_age_s(self) -> float:
+    def worker_list_age_s(self) -> float:
         """Return how old the list of workers is that is known here, at most `NEVER_READ_S`."""
         return min(self._worker_list.age_s(), NEVER_READ_S)
 
@@ -575,18 +586,18 @@
 
     def on_receipt(self, link: PeerLink, receipt: Receipt) -> None:
         """Take note of an acknowledgement."""
-        self.evacuations.note_account(receipt.evacuations, entry=receipt.receiver.name)
+        self.evacuations.update_from_peer(receipt.evacuations, entry=receipt.receiver.name)
         if receipt.receiver.incarnation != link.peer.incarnation:
             self._directory.note(receipt.receiver)
-        if receipt.layout_offset < self._board.layout_offset:
+        if receipt.layout_offset < self._cell_directory.layout_offset:
             # It has just started, and can't read the store.
-            layout, offset = self._board.layout, self._board.layout_offset
+            layout, offset = self._cell_directory.layout, self._cell_directory.layout_offset
             link.send(LayoutNotice(layout=layout, offset=offset))
         self._check_owner_life()
-        if receipt.cell == self._board.home.name:
+        if receipt.cell == self._cell_directory.home.name:
             self.election.note_receipt(receipt)
         if receipt.late:
-            self.desk.hand_again(after_s=0)
+            self.pending_jobs.resubmit(after_s=0)
         self.configurations.note_version(receipt.receiver, receipt.version)
 
     def known_entries(self) -> list[EntryInfo]:
@@ -599,7 +610,7 @@
 
     def fresh_receipts(self, age_s: float) -> list[Receipt]:
         """Return the acknowledgements of other entries that are younger than an age."""
-        return self._directory.fresh_receipts(self._board.home.name, age_s)
+        return self._directory.fresh_receipts(self._cell_directory.home.name, age_s)
 
     # -- the owner's part -------------------------------------------------------------------
 
@@ -609,23 +620,25 @@
 
     def on_owner(self, owner: EntryInfo, fence: int, domain: str) -> None:
         """Follow another entry as owner."""
-        self._slowness.end_term(self._loop.time())
+        self._owner_lag.end_term(self._loop.time())
         self._close_owner()
         self._directory.note(owner, named=True)
-        self.desk.note_unsent(self._directory.withdraw_jobs(owners=self._router.owner_names()))
-        self._directory.link(owner).send(Hello())
+        self.pending_jobs.note_unsent(
+            self._directory.withdraw_jobs(owners=self._router.owner_names())
+        )
+        self._directory.link(owner).send(Ping())
 
-    def on_owner_heard(self) -> None:
+    def on_owner_contact(self) -> None:
         """Hand all waiting jobs over."""
-        self.desk.hand_over(self._board.home.name)
+        self.pending_jobs.submit_pending(self._cell_directory.home.name)
 
     def on_elected(self, fence: int, domain: str) -> None:
         """Be the owner, or the stand-in for a failure domain."""
         self._metrics.count("elections", f'domain="{domain}"')
-        self._slowness.begin_term(self._loop.time())
-        self._domains.note_elected(extended=self._owner is not None)
+        self._owner_lag.begin_term(self._loop.time())
+        self._domains.note_elected(was_owner=self._owner is not None)
         if self._owner is not None and not domain:
-            self._owner.extend(fence)
+            self._owner.promote(fence)
         else:
             self._close_owner()
             self._owner = Owner(
@@ -636,8 +649,8 @@
                 limits=self._limits,
                 metrics=self._metrics,
                 cores=self.me.cores,
-                covers=lambda info: self._board.covers(info.zone, info.id),
-                adopt_first=self._loop.time() < self._cells_new_until,
+                covers=lambda info: self._cell_directory.covers(info.zone, info.id),
+                renew_only_adopted=self._loop.time() < self._cells_new_until,
             )
             self._owner.evacuate(self.evacuations.domains)
         self._elected_at = self._clock()
@@ -645,15 +658,17 @@
             "workers_known workers=%d from=%s age_ms=%d",
             len(self._worker_list.listed_by_id),
             self._worker_list.source,
-            self.list_age_s() * 1000,
+            self.worker_list_age_s() * 1000,
         )
         self._follow_workers()
         self._worker_list.read_soon()
         self._owner.set_workers(self._worker_list.listed_by_id)
-        self._owner.expect_workers(self._worker_list.lapsed_lately())
-        self.desk.note_unsent(self._directory.withdraw_jobs(owners=self._router.owner_names()))
+        self._owner.probe_unlisted_workers(self._worker_list.recently_lapsed())
+        self.pending_jobs.note_unsent(
+            self._directory.withdraw_jobs(owners=self._router.owner_names())
+        )
         self._send_beats()
-        self.desk.hand_over(self._board.home.name)
+        self.pending_jobs.submit_pending(self._cell_directory.home.name)
 
     def _close_owner(self) -> None:
         if self._owner is not None:
@@ -713,11 +728,11 @@
             if self._owner is not None:
                 self._watch_slowness(due_at)
                 # First, so that the heartbeats say which domains are out of hearing by now.
-                self._reach.drop_jobs_beyond(self._owner)
+                self._reachability.drop_jobs_of_unreachable_entries(self._owner)
                 self._send_beats()
                 if self._owner.domain is None:
-                    self._teller.tell(self._beats)
-            elif self.election.owner is not None and self.election.silence_s() > SUSPECT_S:
+                    self._worker_list_sender.send_due(self._beats)
+            elif self.election.owner is not None and self.election.silence_s() > SUSPECT_AFTER_S:
                 self._turn_elsewhere(self.election.owner)
 
     def _turn_elsewhere(self, owner: EntryInfo) -> None:
@@ -725,14 +740,14 @@
 
         They would wait for the end of the take-over, half a second, and be late.
         """
-        if self._board.other_cells():
-            self.desk.note_unsent(self._directory.withdraw_unsent(owner.name))
+        if self._cell_directory.other_cells():
+            self.pending_jobs.note_unsent(self._directory.withdraw_unsent(owner.name))
 
     def _watch_slowness(self, due_at: float) -> None:
         now = self._loop.time()
-        handed_over = self._slowness.hands_over
-        self._slowness.note_beat(now - due_at, now)
-        if self._slowness.hands_over and not handed_over:
+        handed_over = self._owner_lag.should_hand_over
+        self._owner_lag.note_heartbeat(now - due_at, now)
+        if self._owner_lag.should_hand_over and not handed_over:
             self._metrics.count("slow_terms")
             log.warning("too_slow_to_own late_ms=%d", (now - due_at) * 1000)
 
@@ -740,32 +755,32 @@
         self._beats += 1
         due = with_reports or self._beats % REPORT_BEATS == 0
         reports = self._reporter.report(self._owner, self.me) if due else []
-        beat = Beat(
+        beat = OwnerHeartbeat(
             fence=self._owner.fence,
             owner=self.me,
             successors=self._directory.successors(),
             domain=self._owner.domain or "",
             complete_s=self._domains.complete_s(),
-            leaving=self.leaving or self._slowness.hands_over,
+            leaving=self.leaving or self._owner_lag.should_hand_over,
             pending=self._owner.jobs.pending_by_route(),
-            cell=self._board.home.name,
+            cell=self._cell_directory.home.name,
             reports=reports,
         )
         self._home_pending = beat.pending
         for link in self._directory.idle_links():
             link.send(beat)
 
-    def hears_all_domains(self) -> bool:
+    def reaches_all_domains(self) -> bool:
         """Return whether an entry of each failure domain answers, and has for a while."""
-        return self._reach.hears_all_domains(elected_at=self._elected_at)
+        return self._reachability.reaches_all_domains(elected_at=self._elected_at)
 
     async def _show_life_forever(self) -> None:
         """Show the store that the owner lives, for entries that can't hear it."""
         while True:
-            await asyncio.sleep(LIVENESS_S)
+            await asyncio.sleep(LIVENESS_INTERVAL_S)
             if self._owner is None or self._owner.domain is not None:
                 continue
-            key = self._board.home.claim_key()
+            key = self._cell_directory.home.claim_key()
             try:
                 await self._store.append(Topic.LIVENESS, key=key, value=self.me.name.encode())
             except StoreUnavailableError as error:
--- a/zincwell/dispatch/_overload.py
+++ b/zincwell/dispatch/_overload.py
@@ -7,8 +7,8 @@
 
 from zincwell.dispatch._jobs import Job
 from zincwell.dispatch._queue import JobQueue
-from zincwell.dispatch._run_times import JobRunTimes
-from zincwell.dispatch._worker import WorkerSession
+from zincwell.dispatch._run_times import JobRunTimeEstimator
+from zincwell.dispatch._worker_session import WorkerSession
 from zincwell.dispatch.decisions import (
     Demand,
     FreeCores,
@@ -18,8 +18,8 @@
     Replay,
     choose_retry_s,
     count_waves,
-    judge_behind,
-    judge_in_order,
+    judge_late_job,
+    meets_objective,
 )
 
 # A run that was told to stop is gone after this many seconds.
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Hopeless:
+class JobRefusal:
     """A job that can't be served while that is of use.
 
     :param wait_s: how long its last task would still wait for room.
@@ -54,7 +54,7 @@
     """Forecasts when each waiting job would end, and puts those behind that will be late.
 
     :param sessions_by_id: the owner's workers.
-    :param held_back_s: returns for how long a job must not start, since it may run unseen.
+    :param start_delay_s: returns for how long a job must not start, since it may run unseen.
     :param clock: a clock for the time that forecasts take.
     """
 
@@ -63,27 +63,27 @@
         *,
         queue: JobQueue,
         sessions_by_id: Mapping[str, WorkerSession],
-        run_times: JobRunTimes,
-        held_back_s: Callable[[Job, float], float],
+        run_times: JobRunTimeEstimator,
+        start_delay_s: Callable[[Job, float], float],
         clock: Callable[[], float],
     ) -> None:
         self._queue = queue
         self._sessions_by_id = sessions_by_id
         self._run_times = run_times
-        self._held_back_s = held_back_s
+        self._start_delay_s = start_delay_s
         self._clock = clock
         self._rests_until = 0.0
         self._load_by_service: dict[str, OfferedLoad] = {}
         self._packing = USUAL_PACKING
 
-    def note_job(self, job: Job, now: float) -> None:
+    def note_arrival(self, job: Job, now: float) -> None:
         """Take note of a job that has arrived."""
         if now - job.arrived_at > NEW_JOB_S:
             return
         load = self._load_by_service.setdefault(job.request.service, OfferedLoad())
-        load.note_job(work=job.request.work(), now=now)
+        load.note_arrival(work=job.request.work(), now=now)
 
-    def find_hopeless(self, now: float) -> list[Hopeless]:
+    def find_jobs_to_refuse(self, now: float) -> list[JobRefusal]:
         """Return the waiting jobs that have not begun and can't end while that is of use.
 
         Those that will be late wait behind the others from now on.
@@ -94,16 +94,16 @@
         jobs_by_service: dict[str, list[Job]] = {}
         for job in self._queue:
             jobs_by_service.setdefault(job.request.service, []).append(job)
-        hopeless = [
+        refusals = [
             entry
             for service, jobs in jobs_by_service.items()
             for entry in self._judge(service, jobs, now)
         ]
         taken_s = self._clock() - began
         self._rests_until = began + taken_s * REST_FACTOR
-        return hopeless
+        return refusals
 
-    def _judge(self, service: str, jobs: list[Job], now: float) -> list[Hopeless]:
+    def _judge(self, service: str, jobs: list[Job], now: float) -> list[JobRefusal]:
         sessions = [s for s in self._sessions_by_id.values() if s.info.service == service]
         pool = _Pool(sessions=sessions, load=self._load_by_service.get(service))
         least_cpu = min(job.smallest_cpu for job in jobs)
@@ -121,15 +121,15 @@
 
     def _judge_behind(
         self, jobs: list[Job], replay: Replay, pool: _Pool, now: float
-    ) -> list[Hopeless]:
-        hopeless = []
+    ) -> list[JobRefusal]:
+        refusals = []
         load = pool.load_share(self._packing, now)
         for job in jobs:
             projection = replay.place(self._demand_of(job, now)) or Projection(0.0, 0.0)
             wait_s = projection.last_start_s
-            if self._held_back_s(job, now):
+            if self._start_delay_s(job, now):
                 wait_s = 0.0
-            prospect = judge_behind(
+            prospect = judge_late_job(
                 end_age_s=self._end_age_s(job, wait_s, now),
                 objective_s=self._objective_s(job, pool),
                 load=load,
@@ -139,14 +139,14 @@
                 continue
             replay.undo()
             retry_s = choose_retry_s(drained_s=wait_s, job_id=job.request.id)
-            hopeless.append(Hopeless(job=job, wait_s=wait_s, retry_after_s=retry_s))
-        return hopeless
+            refusals.append(JobRefusal(job=job, wait_s=wait_s, retry_after_s=retry_s))
+        return refusals
 
     def _is_in_time(self, job: Job, projection: Projection | None, pool: _Pool, now: float) -> bool:
         wait_s = 0.0
-        if projection is not None and not self._held_back_s(job, now):
+        if projection is not None and not self._start_delay_s(job, now):
             wait_s = projection.last_start_s
-        return judge_in_order(
+        return meets_objective(
             end_age_s=self._end_age_s(job, wait_s, now), objective_s=self._objective_s(job, pool)
         )
 
@@ -155,7 +155,7 @@
 
         A job that may run where it can't be seen may end at any moment.
         """
-        run_s = 0.0 if self._held_back_s(job, now) else self._run_times.expect_job_s(job)
+        run_s = 0.0 if self._start_delay_s(job, now) else self._run_times.expect_job_s(job)
         return now - job.arrived_at + wait_s + run_s
 
     def _objective_s(self, job: Job, pool: _Pool) -> float:
@@ -171,7 +171,7 @@
             tasks=job.waiting,
             cpu=max(step.cpu for _, step in job.ready_steps()),
             run_s=self._run_times.expect_job_s(job),
-            not_before_s=self._held_back_s(job, now),
+            not_before_s=self._start_delay_s(job, now),
         )
 
     def _list_free(
@@ -183,9 +183,9 @@
         added to what becomes free elsewhere.
         """
         for session in sessions:
-            if not session.is_open():
+            if not session.is_schedulable():
                 continue
-            usable_s = max(session.aside_until, session.pause_until) - now
+            usable_s = max(session.quarantined_until, session.pause_until) - now
             if session.silent or not session.held:
                 usable_s = max(usable_s, BACK_S)
             if session.free_cpu >= least_cpu:
--- a/zincwell/dispatch/_owner.py
+++ b/zincwell/dispatch/_owner.py
@@ -9,20 +9,24 @@
 from dataclasses import dataclass
 from time import perf_counter
 
-from zincwell.dispatch._clocks import CLOCK_SLOWNESS
-from zincwell.dispatch._health import WorkerJudge
-from zincwell.dispatch._job_book import JobBook
+from zincwell.dispatch._background import BackgroundTasks
+from zincwell.dispatch._clocks import MAX_CLOCK_DRIFT_RATE
+from zincwell.dispatch._health import WorkerHealthMonitor
+from zincwell.dispatch._job_registry import JobRegistry
 from zincwell.dispatch._jobs import Job, Task, TaskState
 from zincwell.dispatch._metrics import Metrics
 from zincwell.dispatch._overload import OverloadControl
-from zincwell.dispatch._run_times import JobRunTimes
-from zincwell.dispatch._runs import Run, RunFate, RunIndex
+from zincwell.dispatch._run_times import JobRunTimeEstimator
+from zincwell.dispatch._runs import Run, RunIndex, RunOutcome
 from zincwell.dispatch._scheduler import Scheduler
-from zincwell.dispatch._tasks import TaskGroup
 from zincwell.dispatch._types import JobRequest, Limits, Outcome, TaskId, Verdict, WorkerInfo
-from zincwell.dispatch._worker import WorkerObserver, WorkerSession
-from zincwell.dispatch._workers import WorkerSet
-from zincwell.dispatch.decisions import NO_WORKERS_S, LossWatch, least_wait_s
+from zincwell.dispatch._worker_session import WorkerObserver, WorkerSession
+from zincwell.dispatch._worker_set import WorkerSet
+from zincwell.dispatch.decisions import (
+    NO_WORKERS_BACKLOG_S,
+    AnswerLossDetector,
+    min_poll_interval_s,
+)
 from zincwell.dispatch.ports import EndKind, WorkerClient
 
 log = logging.getLogger("zincwell.owner")
@@ -32,7 +36,7 @@
 # Entries hand their jobs over within some 10 ms of the new owner's first heartbeat. What belongs
 # to no job after this many seconds is stopped. A partitioned owner counts its runs as lapsed
 # 1.3 s after its last renewal at the earliest, so this must stay well below.
-STRANGER_GRACE_S = 0.3
+ORPHAN_GRACE_S = 0.3
 # A new owner that is also an heir to workers it can't reach waits until every lease there must
 # have lapsed before it starts tasks that may run there.
 SETTLE_MARGIN_S = 0.05
@@ -48,7 +52,7 @@
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
-class Sight:
+class RunVisibility:
     """Whether everything that runs could be seen at a moment of the loop's clock."""
 
     at: float = -1.0
@@ -56,7 +60,7 @@
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
-class Room:
+class CapacityStatus:
     """How an owner's workers stand.
 
     :param free_cpu: thousandths of a core where a usual task fits.
@@ -79,19 +83,19 @@
         """Tell the entries which tasks need not run again."""
 
     @abc.abstractmethod
-    def hears_all_domains(self) -> bool:
+    def reaches_all_domains(self) -> bool:
         """Return whether an entry of each failure domain answers, and has for a while."""
 
     @abc.abstractmethod
-    def knows_evacuations(self) -> bool:
+    def has_evacuation_state(self) -> bool:
         """Return whether it is known which failure domains are evacuated."""
 
     @abc.abstractmethod
-    def knows_leaving_workers(self) -> bool:
+    def has_usable_worker_list(self) -> bool:
         """Return whether the list of workers is young enough to start tasks by it."""
 
     @abc.abstractmethod
-    def list_age_s(self) -> float:
+    def worker_list_age_s(self) -> float:
         """Return how old the list of workers is that is known here, in seconds."""
 
     @abc.abstractmethod
@@ -105,8 +109,8 @@
     :param domain: only workers of this failure domain, or all if None. An entry that stands in
         for an owner behind a partition takes just its own.
     :param covers: tells which workers belong to the cell.
-    :param adopt_first: owners of other cells may count on the lapsing of runs that nobody here
-        claims, so these are not extended.
+    :param renew_only_adopted: owners of other cells may count on the lapsing of runs that nobody
+        here claims, so these are not extended.
     :param cores: processor that this entry may use.
     """
 
@@ -121,16 +125,16 @@
         metrics: Metrics,
         cores: float = 1.0,
         covers: Callable[[WorkerInfo], bool] = lambda info: True,
-        adopt_first: bool = False,
+        renew_only_adopted: bool = False,
     ) -> None:
         self._metrics = metrics
         self._cores = cores
         self._covers = covers
-        self._adopt_first = adopt_first or domain is not None
+        self._renew_only_adopted = renew_only_adopted or domain is not None
         self._usual_cpu = 1
         self.fence = fence
         self.domain = domain
-        self.jobs = JobBook(
+        self.jobs = JobRegistry(
             on_ended=self._on_job_ended, answer=listener.on_job_ended, metrics=metrics
         )
         self._client = client
@@ -138,37 +142,37 @@
         self._limits = limits
         self._ended_elsewhere: dict[TaskId, EndKind] = {}
         self._loop = asyncio.get_running_loop()
-        self._losses = LossWatch()
+        self._losses = AnswerLossDetector()
         self._workers = WorkerSet(serves=self._serves, make_session=self._make_session)
-        self._sight = Sight()
+        self._run_visibility = RunVisibility()
         self._runs = RunIndex()
-        self._run_times = JobRunTimes()
+        self._run_times = JobRunTimeEstimator()
         self._scheduler = Scheduler(
             sessions_by_id=self._workers.sessions_by_id,
-            may_begin=self._may_begin,
-            may_run_unseen=self._may_run_unseen,
+            may_start_tasks=self._may_start_tasks,
+            may_have_orphaned_runs=self._may_have_orphaned_runs,
             next_run_number=self._next_run_number,
             run_times=self._run_times,
-            list_age_s=listener.list_age_s,
+            worker_list_age_s=listener.worker_list_age_s,
             metrics=metrics,
         )
         self._overload = OverloadControl(
             queue=self._scheduler.queue,
             sessions_by_id=self._workers.sessions_by_id,
             run_times=self._run_times,
-            held_back_s=self._held_back_s,
+            start_delay_s=self._start_delay_s,
             clock=perf_counter,
         )
-        self._judge = WorkerJudge(
+        self._health = WorkerHealthMonitor(
             sessions_by_id=self._workers.sessions_by_id,
-            on_room=self.on_room,
+            on_capacity_available=self.on_capacity_available,
             expect_s=self._expect_s,
             moves_of=self._moves_of,
             metrics=metrics,
         )
         self._opened_at = self._loop.time()
-        self._loop.call_later(OPENING_S, self.on_room)
-        self._tasks = TaskGroup()
+        self._loop.call_later(OPENING_S, self.on_capacity_available)
+        self._tasks = BackgroundTasks()
         self._tasks.spawn(self._review_forever())
 
     def close(self) -> None:
@@ -176,7 +180,7 @@
         self._tasks.close()
         self._workers.close()
 
-    def extend(self, fence: int) -> None:
+    def promote(self, fence: int) -> None:
         """Own all workers from now on under a higher fencing token, with all jobs and runs.
 
         A stand-in that began anew as owner would lose what its workers run: they have often
@@ -184,8 +188,8 @@
         """
         self.fence = fence
         self.domain = None
-        self._adopt_first = False
-        self._workers.extend(fence)
+        self._renew_only_adopted = False
+        self._workers.raise_fence(fence)
         self.resume()
 
     # -- workers ----------------------------------------------------------------------------
@@ -195,13 +199,13 @@
         if not self._workers.sessions_by_id:
             # A new owner may get the list only now; see `OPENING_S`.
             self._opened_at = self._loop.time()
-            self._loop.call_later(OPENING_S, self.on_room)
+            self._loop.call_later(OPENING_S, self.on_capacity_available)
         self._workers.follow(infos)
-        self.on_room()
+        self.on_capacity_available()
 
-    def expect_workers(self, infos: list[WorkerInfo]) -> None:
+    def probe_unlisted_workers(self, infos: list[WorkerInfo]) -> None:
         """Hold workers that are not listed any more, if they still answer."""
-        self._workers.expect(infos)
+        self._workers.probe_unlisted(infos)
 
     def evacuate(self, domains: Collection[str]) -> None:
         """Start nothing on the workers of these failure domains; what runs there ends by itself.
@@ -210,7 +214,7 @@
         emptied the domain for.
         """
         self._workers.evacuate(domains)
-        self.on_room()
+        self.on_capacity_available()
 
     def _make_session(self, info: WorkerInfo) -> WorkerSession:
         return WorkerSession(
@@ -220,19 +224,19 @@
             fence=self.fence,
             limits=self._limits,
             losses=self._losses,
-            adopt_first=self._adopt_first,
+            renew_only_adopted=self._renew_only_adopted,
         )
 
     def _serves(self, info: WorkerInfo) -> bool:
         return self.domain in (None, info.zone) and self._covers(info)
 
-    def _may_begin(self, now: float) -> bool:
+    def _may_start_tasks(self, now: float) -> bool:
         """Return whether tasks may be started yet; see `OPENING_S`.
 
         An owner that has just started may hear of jobs before it hears of evacuations. What it
         knows of the workers it may have been told some time ago.
         """
-        if not self._listener.knows_evacuations() or not self._listener.knows_leaving_workers():
+        if not self._listener.has_evacuation_state() or not self._listener.has_usable_worker_list():
             return False
         return now - self._opened_at >= OPENING_S or self._workers.all_asked()
 
@@ -243,26 +247,28 @@
         be heard there may be more workers than the list shows. Looked up once for each moment:
         right after a take-over hundreds of jobs ask for it.
         """
-        if self._sight.at != now:
-            complete = self.domain is None and self._listener.hears_all_domains()
-            self._sight = Sight(at=now, complete=complete and self._workers.all_held())
-        return self._sight.complete
+        if self._run_visibility.at != now:
+            complete = self.domain is None and self._listener.reaches_all_domains()
+            self._run_visibility = RunVisibility(
+                at=now, complete=complete and self._workers.all_held()
+            )
+        return self._run_visibility.complete
 
-    def _may_run_unseen(self, job: Job, now: float) -> bool:
+    def _may_have_orphaned_runs(self, job: Job, now: float) -> bool:
         """Return whether tasks of the job may run where this owner can't see them.
 
         A job that another owner had may run on a worker that does not answer here. Started again
         it would run twice. Either all workers have shown what they run, or every lease that the
         other owner can have asked for has lapsed since the job was handed over.
         """
-        return self._held_back_s(job, now) > 0
+        return self._start_delay_s(job, now) > 0
 
-    def _held_back_s(self, job: Job, now: float) -> float:
-        """Return for how long no task of the job may be started; see `_may_run_unseen`."""
-        if not job.exposed or self._sees_all_runs(now):
+    def _start_delay_s(self, job: Job, now: float) -> float:
+        """Return for how long no task of the job may be started; see `_may_have_orphaned_runs`."""
+        if not job.possibly_started or self._sees_all_runs(now):
             return 0.0
-        lease_s = self._limits.max_lease_s * (1 + CLOCK_SLOWNESS)
-        lapsed_at = job.taken_at + lease_s + self._limits.thaw_slack_s + SETTLE_MARGIN_S
+        lease_s = self._limits.max_lease_s * (1 + MAX_CLOCK_DRIFT_RATE)
+        lapsed_at = job.accepted_at + lease_s + self._limits.thaw_slack_s + SETTLE_MARGIN_S
         return max(lapsed_at - now, 0.0)
 
     # -- jobs -------------------------------------------------------------------------------
@@ -273,24 +279,24 @@
         *,
         entry: str,
         age_s: float,
-        exposed: bool,
+        possibly_started: bool,
         done: list[tuple[int, int]],
     ) -> None:
         """Take a job in, or let one more entry wait for it."""
-        job = self.jobs.open(request, entry=entry, age_s=age_s, exposed=exposed)
+        job = self.jobs.open(request, entry=entry, age_s=age_s, possibly_started=possibly_started)
         if job is None:
             return
         for step, index in done:
             self._note_done(job, TaskId(request.id, step, index))
         self._usual_cpu = max(job.smallest_cpu, 1)
         self._claim_runs(job)
-        self._overload.note_job(job, self._loop.time())
+        self._overload.note_arrival(job, self._loop.time())
         log.info(
             "job_taken job=%s entry=%s age_ms=%d exposed=%s tasks=%d waiting=%d",
             request.id,
             entry,
             age_s * 1000,
-            exposed,
+            possibly_started,
             sum(job.left),
             job.waiting,
         )
@@ -299,7 +305,7 @@
             return
         self._wait_for_room(job)
 
-    def room(self) -> Room:
+    def capacity_status(self) -> CapacityStatus:
         """Return what the workers have free, and how long they need for what waits."""
         sessions = self._workers.sessions_by_id.values()
         now = self._loop.time()
@@ -307,7 +313,9 @@
         free = sum(max(s.free_cpu, 0) // usual * usual for s in sessions if s.can_start(now))
         usable = sum(s.info.cpu for s in sessions if s.can_serve(now))
         waiting = sum(job.waiting_work() for job in self._scheduler.queue)
-        return Room(free_cpu=free, backlog_s=waiting / usable if usable else NO_WORKERS_S)
+        return CapacityStatus(
+            free_cpu=free, backlog_s=waiting / usable if usable else NO_WORKERS_BACKLOG_S
+        )
 
     def waiting_entries(self) -> set[str]:
         """Return the names of all entries that wait for jobs of this owner."""
@@ -338,11 +346,11 @@
             if task is not None:
                 job.mark_running(task)
         for session in self._workers.sessions_by_id.values():
-            if not session.strangers:
+            if not session.orphaned_runs:
                 continue
-            for task_id, number in list(session.strangers.items()):
+            for task_id, number in list(session.orphaned_runs.items()):
                 if task_id.job == job.request.id:
-                    run = self.on_stranger(session, task_id, number)
+                    run = self.on_orphaned_run(session, task_id, number)
                     if run is not None:
                         session.adopt(run)
         for task_id, kind in list(self._ended_elsewhere.items()):
@@ -355,7 +363,7 @@
         """Queue a job if any of its tasks wait."""
         if job.waiting:
             self._scheduler.queue.add(job, now=self._loop.time())
-            self.on_room()
+            self.on_capacity_available()
 
     def _note_done(self, job: Job, task_id: TaskId) -> None:
         task = job.task(task_id)
@@ -371,9 +379,9 @@
 
     # -- placing ----------------------------------------------------------------------------
 
-    def on_room(self) -> None:
+    def on_capacity_available(self) -> None:
         """Place waiting tasks soon: there may be room, or something new to place."""
-        self._scheduler.plan()
+        self._scheduler.request_placement()
 
     def _next_run_number(self, task: Task) -> int:
         task.runs += 1
@@ -388,65 +396,65 @@
             session.info.id,
             self.fence,
             len(session.runs),
-            len(session.strangers),
+            len(session.orphaned_runs),
         )
-        self.on_room()
+        self.on_capacity_available()
 
     def on_run_added(self, session: WorkerSession, run: Run) -> None:
         """Note that a worker has a run."""
         self._runs.add(session, run)
 
-    def on_run_ended(self, session: WorkerSession, run: Run, fate: RunFate) -> None:
+    def on_run_ended(self, session: WorkerSession, run: Run, outcome: RunOutcome) -> None:
         """Decide what becomes of a task whose run has left a worker."""
         self._runs.discard(run)
-        self.on_room()
+        self.on_capacity_available()
         job = self.jobs.jobs_by_id.get(run.task.job)
         task = job.task(run.task) if job is not None else None
-        self._judge.note_end(session, run, fate)
-        labels = f'service="{session.info.service}",fate="{fate.name.lower()}"'
+        self._health.note_end(session, run, outcome)
+        labels = f'service="{session.info.service}",fate="{outcome.name.lower()}"'
         self._metrics.record("run", self._loop.time() - run.ordered_at, labels)
         if job is None or task is None or task.state is not TaskState.RUNNING:
             return
-        if fate is RunFate.DONE:
+        if outcome is RunOutcome.DONE:
             ratio = self._run_times.note_done(
                 job, run, worker=session.info.id, now=self._loop.time()
             )
-            self._judge.note_done(session, ratio)
+            self._health.note_done(session, ratio)
             job.mark_done(task)
             self._tell_done(job, task)
             return
-        if fate is not RunFate.NOT_STARTED:
+        if outcome is not RunOutcome.NOT_STARTED:
             log.info(
                 "run_ended job=%s task=%s worker=%s fate=%s failures=%d",
                 run.task.job,
                 run.task,
                 session.info.id,
-                fate.name,
+                outcome.name,
                 task.failures,
             )
-        if fate is RunFate.NOT_STARTED:
+        if outcome is RunOutcome.NOT_STARTED:
             # Elsewhere first: this worker may lose the next order, too.
-            task.avoid.add(session.info.id)
-        if fate is RunFate.STOPPED:
+            task.avoided_workers.add(session.info.id)
+        if outcome is RunOutcome.STOPPED:
             # Only a run that was moved is stopped while its job goes on.
             task.moves += 1
-            task.avoid.add(session.info.id)
-        if fate is RunFate.FAILED:
+            task.avoided_workers.add(session.info.id)
+        if outcome is RunOutcome.FAILED:
             task.failures += 1
-            task.avoid.add(session.info.id)
+            task.avoided_workers.add(session.info.id)
             if task.failures >= job.request.attempts:
                 self.jobs.end(job, Outcome(verdict=Verdict.FAILED, reason="task failed"))
                 return
         job.mark_waiting(task)
         self._wait_for_room(job)
 
-    def least_wait_s(self) -> float:
+    def min_poll_interval_s(self) -> float:
         """Return the least time between two calls to a worker that this owner can bear."""
-        return least_wait_s(workers=len(self._workers.sessions_by_id), cores=self._cores)
+        return min_poll_interval_s(workers=len(self._workers.sessions_by_id), cores=self._cores)
 
-    def on_listing(self, session: WorkerSession, clock_ms: int) -> None:
+    def on_progress_reported(self, session: WorkerSession, clock_ms: int) -> None:
         """Judge a worker by how far its runs are."""
-        self._judge.look_at(session, clock_ms)
+        self._health.check_progress(session, clock_ms)
 
     def _expect_s(self, session: WorkerSession, run: Run) -> float:
         """Return how long the task of a run takes on a usual worker.
@@ -463,7 +471,7 @@
             for other, sibling in self._runs.of_job(run.task.job)
             if other is not session
             and sibling.task.step == run.task.step
-            and (total_s := sibling.project_s()) is not None
+            and (total_s := sibling.projected_total_s()) is not None
         ]
         return max(expected_s, min(others, default=0.0))
 
@@ -479,7 +487,7 @@
         place = (task.id.step, task.id.index)
         self._listener.on_tasks_done(job.request.id, job.waiting_for, [place])
 
-    def on_stranger(self, session: WorkerSession, task: TaskId, number: int) -> Run | None:
+    def on_orphaned_run(self, session: WorkerSession, task: TaskId, number: int) -> Run | None:
         """Return the run to adopt for a task that an earlier owner started, or None."""
         job = self.jobs.jobs_by_id.get(task.job)
         known = job.task(task) if job is not None else None
@@ -500,7 +508,7 @@
             adopted=True,
         )
 
-    def on_stranger_ended(self, task: TaskId, kind: EndKind) -> None:
+    def on_orphaned_run_ended(self, task: TaskId, kind: EndKind) -> None:
         """Note the end of a run that this owner did not order."""
         job = self.jobs.jobs_by_id.get(task.job)
         if job is None:
@@ -522,7 +530,7 @@
     def resume(self) -> None:
         """Go on: the worker that was fenced obeys a stand-in, all others are still ours."""
         self._scheduler.suspended = False
-        self.on_room()
+        self.on_capacity_available()
 
     # -- what time brings -------------------------------------------------------------------
 
@@ -530,28 +538,30 @@
         while True:
             await asyncio.sleep(REVIEW_S)
             now = self._loop.time()
-            self._refuse_hopeless(now)
-            self._stop_strangers(now)
-            exposed = any(job.exposed and job.waiting for job in self.jobs.jobs_by_id.values())
-            if exposed or self._scheduler.waits:
-                self.on_room()
-
-    def _refuse_hopeless(self, now: float) -> None:
-        for hopeless in self._overload.find_hopeless(now):
-            job = hopeless.job
+            self._end_unservable_jobs(now)
+            self._stop_orphaned_runs(now)
+            possibly_started = any(
+                job.possibly_started and job.waiting for job in self.jobs.jobs_by_id.values()
+            )
+            if possibly_started or self._scheduler.starts_blocked:
+                self.on_capacity_available()
+
+    def _end_unservable_jobs(self, now: float) -> None:
+        for refusal in self._overload.find_jobs_to_refuse(now):
+            job = refusal.job
             log.info(
                 "job_hopeless job=%s age_ms=%d wait_ms=%.0f run_ms=%.0f slo_ms=%d tasks=%d"
                 " waiting=%d exposed=%s",
                 job.request.id,
                 (now - job.arrived_at) * 1000,
-                hopeless.wait_s * 1000,
+                refusal.wait_s * 1000,
                 job.estimate_s * 1000,
                 job.slo_s * 1000,
                 job.waiting,
                 len(self._scheduler.queue),
-                job.exposed,
+                job.possibly_started,
             )
-            self.jobs.refuse(job, "no room in time", retry_after_s=hopeless.retry_after_s)
+            self.jobs.refuse(job, "no room in time", retry_after_s=refusal.retry_after_s)
         for job in list(self.jobs.jobs_by_id.values()):
             if job.waiting and not self._may_ever_fit(job):
                 self._end_unplaceable(job)
@@ -584,13 +594,13 @@
         job.fits_workers_of = self._workers.version
         return self._workers.could_ever_fit(job.request)
 
-    def _stop_strangers(self, now: float) -> None:
+    def _stop_orphaned_runs(self, now: float) -> None:
         for session in self._workers.sessions_by_id.values():
-            if session.strangers and now - session.strangers_since > STRANGER_GRACE_S:
+            if session.orphaned_runs and now - session.orphaned_since > ORPHAN_GRACE_S:
                 log.info(
                     "strangers_stopped worker=%s tasks=%d",
                     session.info.id,
-                    len(session.strangers),
+                    len(session.orphaned_runs),
                 )
-                session.strangers_since = now
-                session.stop_strangers()
+                session.orphaned_since = now
+                session.stop_orphaned_runs()
--- a/zincwell/dispatch/_slowness.py
+++ b/zincwell/dispatch/_owner_lag.py
@@ -17,7 +17,7 @@
 REST_S = 15.0
 
 
-class SlownessWatch:
+class OwnerLagDetector:
     """Tells from late timers whether the owner should hand the pool over.
 
     Goes wrong without it: the owner's VM slows down, as by a noisy neighbour. Its heartbeats still
@@ -30,27 +30,27 @@
         self._lateness: deque[float] = deque(maxlen=BEATS)
         self._term_began_at = 0.0
         self._rests_until = 0.0
-        self.hands_over = False
+        self.should_hand_over = False
 
     def begin_term(self, now: float) -> None:
         """Note that this entry is owner from now on."""
         self._lateness.clear()
         self._term_began_at = now
-        self.hands_over = False
+        self.should_hand_over = False
 
     def end_term(self, now: float) -> None:
         """Note that another entry is owner."""
-        if self.hands_over:
+        if self.should_hand_over:
             self._rests_until = now + REST_S
-        self.hands_over = False
+        self.should_hand_over = False
 
-    def note_beat(self, lateness_s: float, now: float) -> None:
+    def note_heartbeat(self, lateness_s: float, now: float) -> None:
         """Take note of how late the owner woke up for a heartbeat."""
         self._lateness.append(lateness_s)
         if len(self._lateness) < BEATS or now - self._term_began_at < TERM_S:
             return
-        self.hands_over = self.hands_over or sorted(self._lateness)[BEATS // 2] > LATE_S
+        self.should_hand_over = self.should_hand_over or sorted(self._lateness)[BEATS // 2] > LATE_S
 
-    def rests(self, now: float) -> bool:
+    def is_ineligible(self, now: float) -> bool:
         """Return whether this entry should not take the pool."""
-        return self.hands_over or now < self._rests_until
+        return self.should_hand_over or now < self._rests_until
--- a/zincwell/dispatch/_peers.py
+++ b/zincwell/dispatch/_peers.py
@@ -8,8 +8,8 @@
 import math
 from collections.abc import Callable, Iterator
 
+from zincwell.dispatch._background import BackgroundTasks
 from zincwell.dispatch._messages import Cancel, Envelope, Message, Receipt, Submit
-from zincwell.dispatch._tasks import TaskGroup
 from zincwell.dispatch._types import EntryInfo, Evacuations
 from zincwell.dispatch.ports import PeerCallError, PeerClient
 
@@ -87,7 +87,7 @@
         self._wake = asyncio.Event()
         self._loop = asyncio.get_running_loop()
         self._heard_at = self._loop.time()
-        self._tasks = TaskGroup()
+        self._tasks = BackgroundTasks()
         self._tasks.spawn(self._run())
 
     def send(self, message: Message) -> None:
--- a/zincwell/dispatch/_placement.py
+++ b/zincwell/dispatch/_placement.py
@@ -7,10 +7,10 @@
 
 from zincwell.dispatch._jobs import Task
 from zincwell.dispatch._types import Step
-from zincwell.dispatch._worker import WorkerSession
+from zincwell.dispatch._worker_session import WorkerSession
 
 
-class FreeRoom:
+class AvailableWorkers:
     """The workers of one service that may start tasks, by how much processor they have free."""
 
     def __init__(self, sessions: Iterable[WorkerSession]) -> None:
@@ -33,7 +33,7 @@
             if not fits_now(session, step=step, task=task):
                 continue
             rank = (
-                session.info.id in task.avoid,
+                session.info.id in task.avoided_workers,
                 bool(step.rack) and step.rack not in session.info.labels,
             )
             if not any(rank):
--- a/zincwell/dispatch/_reach.py
+++ b/zincwell/dispatch/_reachability.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from zincwell.dispatch._cell_board import CellBoard
+from zincwell.dispatch._cell_directory import CellDirectory
 from zincwell.dispatch._directory import EntryDirectory
-from zincwell.dispatch._domains import DomainWatch
+from zincwell.dispatch._domains import DomainMonitor
 from zincwell.dispatch._owner import Owner
 from zincwell.dispatch._types import EntryInfo
 from zincwell.dispatch._worker_list import WorkerList
@@ -14,7 +14,7 @@
 ENTRY_LOST_S = 0.9
 
 
-class Reach:
+class ReachabilityMonitor:
     """Looks over the entries of the own cell as its owner.
 
     :param domains: when each failure domain was last out of hearing.
@@ -24,26 +24,26 @@
         self,
         *,
         me: EntryInfo,
-        board: CellBoard,
+        cell_directory: CellDirectory,
         directory: EntryDirectory,
         worker_list: WorkerList,
-        domains: DomainWatch,
+        domains: DomainMonitor,
     ) -> None:
         self._me = me
-        self._board = board
+        self._cell_directory = cell_directory
         self._directory = directory
         self._worker_list = worker_list
         self._domains = domains
 
-    def hears_all_domains(self, *, elected_at: float) -> bool:
+    def reaches_all_domains(self, *, elected_at: float) -> bool:
         """Return whether an entry of each failure domain answers, and has for a while."""
         if self._worker_list.read_at() < elected_at:
             # Workers that are new since this entry read the list may run something.
             return False
         links = self._directory.links_by_name.values()
-        return self._domains.hears_all(self._directory.fellows(), links)
+        return self._domains.reaches_all(self._directory.cell_members(), links)
 
-    def drop_jobs_beyond(self, owner: Owner) -> None:
+    def drop_jobs_of_unreachable_entries(self, owner: Owner) -> None:
         """Stop the jobs of entries that can't be heard because of a partition, or may be dead.
 
         While failure domains are cut off from each other, the callers of an entry that dies may
@@ -52,11 +52,11 @@
         if not self._worker_list.is_fresh():
             self._domains.note_list_unread()
         lost = self._find_lost()
-        if self._board.other_cells():
+        if self._cell_directory.other_cells():
             # The caller of an entry that died may send its job again to any cell, which would run
             # it a second time beside this one.
             owner.jobs.drop_jobs_of(lost, reason="entry lost")
-        entries = self._directory.fellows()
+        entries = self._directory.cell_members()
         cut_off = self._domains.find_cut_off(entries, self._directory.links_by_name)
         if not cut_off and owner.domain is None:
             return
--- a/zincwell/dispatch/_router.py
+++ b/zincwell/dispatch/_router.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection
 
 from zincwell.dispatch._callers import OwnerChannel
-from zincwell.dispatch._cell_board import CellBoard
+from zincwell.dispatch._cell_directory import CellDirectory
 from zincwell.dispatch._directory import EntryDirectory
 from zincwell.dispatch._election import Election
 from zincwell.dispatch._messages import Cancel, Message, Submit
@@ -26,25 +26,25 @@
         self,
         *,
         me: EntryInfo,
-        board: CellBoard,
+        cell_directory: CellDirectory,
         directory: EntryDirectory,
         handle: Callable[[Message], None],
     ) -> None:
         self._me = me
-        self._board = board
+        self._cell_directory = cell_directory
         self._directory = directory
         self._handle = handle
 
     def home(self) -> str:
         """Return the name of the own cell."""
-        return self._board.home.name
+        return self._cell_directory.home.name
 
     def choose_cell(self, request: JobRequest, *, refused_by: Collection[str]) -> str | None:
         """Return the cell that a job should go to, None if all that would take it refused it."""
-        if not self._board.other_cells():
+        if not self._cell_directory.other_cells():
             return None if refused_by else self.home()
         silence_s = self.election.silence_s() if self._hears_owner() else math.inf
-        return self._board.choose(request, home_silence_s=silence_s, refused_by=refused_by)
+        return self._cell_directory.choose(request, home_silence_s=silence_s, refused_by=refused_by)
 
     def fence(self, cell: str) -> int:
         """Return the fencing token of a cell's owner, 0 if none has been heard.
@@ -53,13 +53,13 @@
         count as possibly started, and wait for 1.4 s under the next owner.
         """
         if cell != self.home():
-            return self._board.fence_of(cell)
+            return self._cell_directory.fence_of(cell)
         return self.election.fence if self._hears_owner() else 0
 
     def silence_s(self, cell: str) -> float:
         """Return for how long no owner of a cell was heard."""
         if cell != self.home():
-            return self._board.silence_s(cell)
+            return self._cell_directory.silence_s(cell)
         return self.election.silence_s()
 
     def submit(self, cell: str, message: Submit) -> None:
@@ -72,14 +72,16 @@
 
     def owner_names(self) -> set[str]:
         """Return the names of the entries that own a cell, as far as known."""
-        owners = [self._board.owner_of(cell.name) for cell in self._board.other_cells()]
+        owners = [
+            self._cell_directory.owner_of(cell.name) for cell in self._cell_directory.other_cells()
+        ]
         return {owner.name for owner in [*owners, self.election.owner] if owner is not None}
 
     def _hears_owner(self) -> bool:
-        return self.election.owner is not None and self.election.has_heard_owner()
+        return self.election.owner is not None and self.election.has_owner_contact()
 
     def _send(self, cell: str, message: Message) -> None:
-        owner = self.election.owner if cell == self.home() else self._board.owner_of(cell)
+        owner = self.election.owner if cell == self.home() else self._cell_directory.owner_of(cell)
         if owner is None:
             return
         if owner.incarnation == self._me.incarnation:
--- a/zincwell/dispatch/_run_times.py
+++ b/zincwell/dispatch/_run_times.py
@@ -7,7 +7,7 @@
 from zincwell.dispatch.decisions import RunTimes
 
 
-class JobRunTimes:
+class JobRunTimeEstimator:
     """Learns from runs, and tells what to expect of tasks and of runs."""
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
 
         Another task of the step that is done tells it better than the caller's estimate.
         """
-        known_s = job.run_s_by_step.get(step)
+        known_s = job.min_run_s_by_step.get(step)
         if known_s is not None:
             return known_s
         estimate_s = job.request.steps[step].estimate_ms / 1000
@@ -45,5 +45,5 @@
             estimate_s=job.request.steps[step].estimate_ms / 1000,
             run_s=run_s,
         )
-        job.run_s_by_step[step] = min(run_s, job.run_s_by_step.get(step, run_s))
+        job.min_run_s_by_step[step] = min(run_s, job.min_run_s_by_step.get(step, run_s))
         return run_s / expected_s if expected_s else 1.0
--- a/zincwell/dispatch/_runs.py
+++ b/zincwell/dispatch/_runs.py
@@ -8,17 +8,17 @@
 from typing import TYPE_CHECKING
 
 from zincwell.dispatch._types import TaskId
-from zincwell.dispatch.decisions import MIN_PERCENT
+from zincwell.dispatch.decisions import MIN_PROGRESS_PERCENT
 
 if TYPE_CHECKING:
-    from zincwell.dispatch._worker import WorkerSession
+    from zincwell.dispatch._worker_session import WorkerSession
 
 # A run that has taken longer than expected goes on for this share of the expected time, as far as
 # anybody knows.
 OVERRUN_SHARE = 0.1
 
 
-class RunFate(enum.Enum):
+class RunOutcome(enum.Enum):
     """How a run left a worker.
 
     ``NOT_STARTED``: the worker never began it. ``LOST``: it ended without a result, by a lapsed
@@ -69,7 +69,7 @@
     percent: float = 0.0
     progress_ms: int = 0
 
-    def note_begun(self, clock_ms: int, *, percent: float = 0.0) -> None:
+    def note_started(self, clock_ms: int, *, percent: float = 0.0) -> None:
         """Take note of the first sign that the run is at work."""
         if self.begun_ms is None:
             self.begun_ms = self.progress_ms = clock_ms
@@ -77,28 +77,28 @@
 
     def note_progress(self, clock_ms: int, *, percent: float) -> None:
         """Take note of how far the run is."""
-        self.note_begun(clock_ms, percent=percent)
+        self.note_started(clock_ms, percent=percent)
         if percent > self.percent:
             self.percent = percent
             self.progress_ms = clock_ms
 
-    def still_s(self, clock_ms: int) -> float:
+    def stalled_s(self, clock_ms: int) -> float:
         """Return for how long the run has shown no progress; 0 if it is not known to be at work."""
         return (clock_ms - self.progress_ms) / 1000 if self.begun_ms is not None else 0.0
 
-    def project_s(self) -> float | None:
+    def projected_total_s(self) -> float | None:
         """Return how long the whole task takes on this worker, or None if that can't be told yet.
 
         It can be told once the run has shown a few percent.
         """
         gained = self.percent - self.first_percent
-        if self.begun_ms is None or gained < MIN_PERCENT:
+        if self.begun_ms is None or gained < MIN_PROGRESS_PERCENT:
             return None
         return (self.progress_ms - self.begun_ms) / 1000 * 100 / gained
 
     def left_s(self, now: float, *, expected_s: float) -> float:
         """Return for how much longer it will run, by its progress or else by what is expected."""
-        total_s = self.project_s() or expected_s
+        total_s = self.projected_total_s() or expected_s
         if self.adopted:
             return total_s * (100 - self.percent) / 100
         return max(self.ordered_at + total_s - now, OVERRUN_SHARE * total_s)
--- a/zincwell/dispatch/_scheduler.py
+++ b/zincwell/dispatch/_scheduler.py
@@ -8,12 +8,12 @@
 
 from zincwell.dispatch._jobs import Job, Task, TaskState
 from zincwell.dispatch._metrics import Metrics
-from zincwell.dispatch._placement import FreeRoom
+from zincwell.dispatch._placement import AvailableWorkers
 from zincwell.dispatch._queue import JobQueue
-from zincwell.dispatch._run_times import JobRunTimes
+from zincwell.dispatch._run_times import JobRunTimeEstimator
 from zincwell.dispatch._runs import Run
 from zincwell.dispatch._types import Step
-from zincwell.dispatch._worker import WorkerSession
+from zincwell.dispatch._worker_session import WorkerSession
 
 log = logging.getLogger("zincwell.owner")
 
@@ -22,40 +22,41 @@
     """Starts tasks in the order of the queue, wherever there is room.
 
     :param sessions_by_id: the owner's workers.
-    :param may_begin: returns whether anything may be started yet.
-    :param may_run_unseen: returns whether tasks of a job may run where the owner can't see them,
-        so that it must not start yet.
+    :param may_start_tasks: returns whether anything may be started yet.
+    :param may_have_orphaned_runs: returns whether tasks of a job may run where the owner can't see
+        them, so that it must not start yet.
     :param next_run_number: returns the number of the next run of a task.
     :param run_times: how long tasks take.
-    :param list_age_s: returns how old the list of workers is that starts rely on, in seconds.
+    :param worker_list_age_s: returns how old the list of workers is that starts rely on, in
+        seconds.
     """
 
     def __init__(
         self,
         *,
         sessions_by_id: Mapping[str, WorkerSession],
-        may_begin: Callable[[float], bool],
-        may_run_unseen: Callable[[Job, float], bool],
+        may_start_tasks: Callable[[float], bool],
+        may_have_orphaned_runs: Callable[[Job, float], bool],
         next_run_number: Callable[[Task], int],
-        run_times: JobRunTimes,
-        list_age_s: Callable[[], float],
+        run_times: JobRunTimeEstimator,
+        worker_list_age_s: Callable[[], float],
         metrics: Metrics,
     ) -> None:
         self.queue = JobQueue()
         self.suspended = False
         # Whether nothing was placed the last time since nothing may be started yet.
-        self.waits = False
+        self.starts_blocked = False
         self._sessions_by_id = sessions_by_id
-        self._may_begin = may_begin
-        self._may_run_unseen = may_run_unseen
+        self._may_start_tasks = may_start_tasks
+        self._may_have_orphaned_runs = may_have_orphaned_runs
         self._next_run_number = next_run_number
         self._run_times = run_times
-        self._list_age_s = list_age_s
+        self._worker_list_age_s = worker_list_age_s
         self._metrics = metrics
         self._planned = False
         self._loop = asyncio.get_running_loop()
 
-    def plan(self) -> None:
+    def request_placement(self) -> None:
         """Place waiting tasks soon, once for all events of this turn of the loop."""
         if not self._planned:
             self._planned = True
@@ -63,12 +64,12 @@
 
     def place(self) -> None:
         """Start what can start now."""
-        self._planned = self.waits = False
+        self._planned = self.starts_blocked = False
         if self.suspended or not len(self.queue):
             return
         now = self._loop.time()
-        self.waits = not self._may_begin(now)
-        if self.waits:
+        self.starts_blocked = not self._may_start_tasks(now)
+        if self.starts_blocked:
             return
         room_by_service = self._find_room(self.queue.smallest_cpu(), now)
         if not room_by_service:
@@ -77,7 +78,7 @@
             room = room_by_service.get(job.request.service)
             if room is None or job.smallest_cpu > room.most_free_cpu():
                 continue
-            if self._may_run_unseen(job, now):
+            if self._may_have_orphaned_runs(job, now):
                 continue
             self._place_job(job, room, now)
             if not job.waiting:
@@ -85,14 +86,14 @@
             elif job.started:
                 self.queue.add(job, now=now)
 
-    def _find_room(self, least_cpu: int, now: float) -> dict[str, FreeRoom]:
+    def _find_room(self, least_cpu: int, now: float) -> dict[str, AvailableWorkers]:
         sessions_by_service: dict[str, list[WorkerSession]] = {}
         for session in self._sessions_by_id.values():
             if session.free_cpu >= least_cpu and session.can_start(now):
                 sessions_by_service.setdefault(session.info.service, []).append(session)
-        return {name: FreeRoom(sessions) for name, sessions in sessions_by_service.items()}
+        return {name: AvailableWorkers(sessions) for name, sessions in sessions_by_service.items()}
 
-    def _place_job(self, job: Job, room: FreeRoom, now: float) -> None:
+    def _place_job(self, job: Job, room: AvailableWorkers, now: float) -> None:
         for number, step in job.ready_steps():
             for task in job.tasks[number]:
                 if task.state is not TaskState.WAITING:
@@ -113,8 +114,8 @@
             ordered_at=now,
             expected_s=self._run_times.expect_task_s(job, task.id.step),
         )
-        list_age_s = self._list_age_s()
-        self._metrics.record("start_list_age", list_age_s)
+        worker_list_age_s = self._worker_list_age_s()
+        self._metrics.record("start_list_age", worker_list_age_s)
         if not job.started:
             labels = f'route="{job.request.route}"'
             self._metrics.record("job_queueing", now - job.arrived_at, labels)
@@ -123,7 +124,7 @@
                 job.request.id,
                 (now - job.arrived_at) * 1000,
                 session.info.id,
-                list_age_s * 1000,
+                worker_list_age_s * 1000,
             )
         job.mark_running(task)
         session.start(run, spec=job.request.spec)
--- a/zincwell/dispatch/_types.py
+++ b/zincwell/dispatch/_types.py
@@ -76,7 +76,7 @@
     stretch: float = 1.0
     objective_ms: int = 0
 
-    def chain_ms(self) -> int:
+    def critical_path_ms(self) -> int:
         """Return the estimated run time of the longest chain of steps."""
         ends: list[int] = []
         for step in self.steps:
@@ -90,7 +90,7 @@
 
     def slo_s(self) -> float:
         """Return the time within which an answer counts as in time, by the estimates."""
-        return (self.stretch * self.chain_ms() + self.objective_ms) / 1000
+        return (self.stretch * self.critical_path_ms() + self.objective_ms) / 1000
 
 
 class Verdict(enum.StrEnum):
@@ -145,7 +145,7 @@
     guarded: dict[str, bool] = {}
     max_body_bytes: int = 1 << 20
 
-    def names_service(self, service: str) -> bool:
+    def has_service(self, service: str) -> bool:
         """Return whether there is such a service."""
         return service in self.guarded or any(route.service == service for route in self.routes)
 
@@ -207,7 +207,7 @@
     registered: int = -1
     cores: float = 1.0
 
-    def rank_as_owner(self) -> tuple[float, float, str]:
+    def owner_preference_key(self) -> tuple[float, float, str]:
         """Return the sort key among entries that may own the pool; the first is the best.
 
         An owner of 176 workers uses a whole core, so strong VMs come first. Among equals the one
@@ -215,7 +215,7 @@
         """
         return (-self.cores, -self.registered, self.name)
 
-    def is_later_life(self, other: EntryInfo) -> bool:
+    def is_newer_incarnation(self, other: EntryInfo) -> bool:
         """Return whether this is surely a later life of the same VM than another."""
         known = self.registered >= 0 and other.registered >= 0
         return known and self.registered > other.registered
--- a/zincwell/dispatch/_orders.py
+++ b/zincwell/dispatch/_worker_calls.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from zincwell.dispatch._clocks import CLOCK_SLOWNESS, WorkerClock
+from zincwell.dispatch._clocks import MAX_CLOCK_DRIFT_RATE, WorkerClock
 from zincwell.dispatch._runs import Run
 from zincwell.dispatch._types import Limits, TaskId, WorkerInfo
-from zincwell.dispatch.decisions import MAX_PATIENCE_S, AnswerTimes
+from zincwell.dispatch.decisions import MAX_ANSWER_TIMEOUT_S, AnswerTimeoutEstimator
 from zincwell.dispatch.ports import (
     HoldReply,
     StartOrder,
@@ -24,7 +24,7 @@
 START_VALID_MS = 400
 
 
-class OrderLine:
+class WorkerCalls:
     """Gives orders to one worker under a fencing token, and remembers the leases it asked for.
 
     :ivar fence: token of all orders from now on.
@@ -40,13 +40,13 @@
         self._info = info
         self._client = client
         self._limits = limits
-        self._answers = AnswerTimes()
+        self._answers = AnswerTimeoutEstimator()
         self._lapses_at = 0.0
         self._loop = asyncio.get_running_loop()
 
-    def patience_s(self) -> float:
+    def answer_timeout_s(self) -> float:
         """Return after how many seconds without an answer a call is taken for lost."""
-        return self._answers.patience_s()
+        return self._answers.answer_timeout_s()
 
     def has_lapsed(self) -> bool:
         """Return whether no lease that was ever asked for can still be valid."""
@@ -54,7 +54,7 @@
 
     async def start(self, run: Run, spec: str) -> StartReply:
         """Order a run that begins soon or never."""
-        run.start_deadline_ms = int(self.clock.now_ms() + START_VALID_MS)
+        run.start_deadline_ms = int(self.clock.lower_bound_ms() + START_VALID_MS)
         order = StartOrder(
             task=run.task,
             run=run.number,
@@ -66,23 +66,23 @@
         reply = await self._client.start(self._info, order, timeout_s=START_VALID_MS / 1000)
         self._answers.note(self._loop.time() - sent_at)
         if reply.clock_ms is not None:
-            self.clock.read(reply.clock_ms)
+            self.clock.update(reply.clock_ms)
         return reply
 
     async def stop(self, task: TaskId, number: int) -> None:
         """Order the end of a run; one that has not begun is refused from then on."""
         await self._client.stop(
-            self._info, task=task, run=number, fence=self.fence, timeout_s=MAX_PATIENCE_S
+            self._info, task=task, run=number, fence=self.fence, timeout_s=MAX_ANSWER_TIMEOUT_S
         )
 
     async def hold(
-        self, *, extend: bool, wait_s: float = 0.0, patience_s: float = MAX_PATIENCE_S
+        self, *, extend: bool, wait_s: float = 0.0, answer_timeout_s: float = MAX_ANSWER_TIMEOUT_S
     ) -> HoldReply:
         """Ask what runs and what ended.
 
         :param extend: extend the lease of everything that runs there.
         :param wait_s: how long the worker may wait for an end before it answers.
-        :param patience_s: how long its answer may take beyond that.
+        :param answer_timeout_s: how long its answer may take beyond that.
         """
         sent_at = self._loop.time()
         try:
@@ -92,10 +92,10 @@
                 acknowledged=self.acknowledged,
                 deadline_ms=self._lease_deadline() if extend else None,
                 wait_s=wait_s,
-                timeout_s=wait_s + patience_s,
+                timeout_s=wait_s + answer_timeout_s,
             )
         except WorkerCallError:
-            self._answers.note_given_up()
+            self._answers.note_timeout()
             raise
         took_s = self._loop.time() - sent_at
         if took_s >= wait_s:
@@ -108,6 +108,6 @@
         if not self.clock.is_known():
             return None
         lease_s = self._limits.max_lease_s
-        slack_s = lease_s * CLOCK_SLOWNESS + self._limits.thaw_slack_s
+        slack_s = lease_s * MAX_CLOCK_DRIFT_RATE + self._limits.thaw_slack_s
         self._lapses_at = max(self._lapses_at, self._loop.time() + lease_s + slack_s)
-        return int(self.clock.now_ms() + lease_s * 1000)
+        return int(self.clock.lower_bound_ms() + lease_s * 1000)
--- a/zincwell/dispatch/_worker_list.py
+++ b/zincwell/dispatch/_worker_list.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from zincwell.dispatch._cell_board import CellBoard
+from zincwell.dispatch._cell_directory import CellDirectory
 from zincwell.dispatch._cells import Cell
 from zincwell.dispatch._feeds import TopicFollower
-from zincwell.dispatch._listing import WorkerListing
-from zincwell.dispatch._messages import WorkerNews
+from zincwell.dispatch._known_workers import KnownWorkers
+from zincwell.dispatch._messages import WorkerListSnapshot
 from zincwell.dispatch._types import WorkerInfo
 from zincwell.dispatch.ports import Store, Topic
 
@@ -34,13 +34,13 @@
 class ListVersion:
     """What is known of the list of workers, and since when.
 
-    :param place: place in the store's log up to which it is known, -1 before the first reading.
+    :param offset: offset in the store's log up to which it is known, -1 before the first reading.
     :param read_at: when it was read, by this entry's clock.
     :param source: ``store``, or the name of the entry that told of it.
     :param cell: name of the cell whose workers it has; None if it has all.
     """
 
-    place: int = -1
+    offset: int = -1
     read_at: float = -math.inf
     source: str = ""
     cell: str | None = None
@@ -55,7 +55,7 @@
     hears nothing reads for itself.
 
     :param leave_notice_s: how long after it has said that it leaves a worker may get new work.
-    :param names_service: tells whether the configuration names a service.
+    :param has_service: tells whether the configuration names a service.
     :param on_change: called when the list may have changed.
     :param clock: a steady clock that counts the time that the VM was suspended.
     """
@@ -64,17 +64,17 @@
         self,
         *,
         store: Store,
-        board: CellBoard,
+        cell_directory: CellDirectory,
         leave_notice_s: float,
-        names_service: Callable[[str], bool],
+        has_service: Callable[[str], bool],
         on_change: Callable[[], None],
         clock: Callable[[], float],
     ) -> None:
-        self._board = board
+        self._cell_directory = cell_directory
         self._usable_s = max(leave_notice_s * USABLE_SHARE, LEAST_USABLE_S)
-        self._names_service = names_service
+        self._has_service = has_service
         self._on_change = on_change
-        self._listing = WorkerListing()
+        self._known_workers = KnownWorkers()
         self._version = ListVersion()
         # When the list was read that the newest news tell of.
         self._told_at = -math.inf
@@ -96,15 +96,15 @@
     @property
     def listed_by_id(self) -> dict[str, WorkerInfo]:
         """The listed workers of the services that the configuration names."""
-        return self._listing.listed_by_id
+        return self._known_workers.listed_by_id
 
-    def lapsed_lately(self) -> list[WorkerInfo]:
+    def recently_lapsed(self) -> list[WorkerInfo]:
         """Return workers that have left the list without a word and may be at work all the same."""
-        return self._listing.lapsed_lately()
+        return self._known_workers.recently_lapsed()
 
     def read_at(self) -> float:
         """Return when the list was read that is known here, by this entry's clock."""
-        return self._newest_read_at() if self._covers(self._board.home) else -math.inf
+        return self._newest_read_at() if self._covers(self._cell_directory.home) else -math.inf
 
     def age_s(self) -> float:
         """Return how old the list is that is known here, in seconds; infinite before the first."""
@@ -138,7 +138,7 @@
         """Begin to read at once, and wait for the first reading for a limited time."""
         self.read_soon()
         until = self._loop.time() + within_s
-        while self._feed.place < 0 and self._loop.time() < until:
+        while self._feed.offset < 0 and self._loop.time() < until:
             await asyncio.sleep(within_s / 10)
 
     def read_soon(self) -> None:
@@ -149,13 +149,13 @@
     def refresh(self) -> None:
         """Take over what was read; also when the configuration names other services."""
         feed = self._feed
-        if feed.place < max(self._version.place, 0):
+        if feed.offset < max(self._version.offset, 0):
             return
         infos = [record.value for record in feed.records_by_key.values()]
-        version = ListVersion(place=feed.place, read_at=feed.read_at, source="store")
+        version = ListVersion(offset=feed.offset, read_at=feed.read_at, source="store")
         self._update([info for info in infos if isinstance(info, WorkerInfo)], version)
 
-    def tell(self, cell: Cell) -> WorkerNews | None:
+    def make_snapshot(self, cell: Cell) -> WorkerListSnapshot | None:
         """Return what another owner or a successor should know of a cell's workers.
 
         None if nothing is known of them here.
@@ -165,16 +165,16 @@
         covered = [
             info
             for info in self.listed_by_id.values()
-            if self._board.layout.cell_of(info.zone, info.id) is cell
+            if self._cell_directory.layout.cell_of(info.zone, info.id) is cell
         ]
-        return WorkerNews(
+        return WorkerListSnapshot(
             cell=cell.name,
-            place=self._version.place,
+            place=self._version.offset,
             workers=covered,
             age_s=round(self._clock() - self._newest_read_at(), 3),
         )
 
-    def note_news(self, news: WorkerNews, *, entry: str, delay_s: float) -> None:
+    def note_snapshot(self, snapshot: WorkerListSnapshot, *, entry: str, delay_s: float) -> None:
         """Take note of what another entry has read.
 
         News that are older than an own reading change nothing, but there is no need to go on
@@ -183,14 +183,16 @@
 
         :param delay_s: how long the message was under way.
         """
-        if news.cell != self._board.home.name:
+        if snapshot.cell != self._cell_directory.home.name:
             return
-        read_at = self._clock() - news.age_s - delay_s
+        read_at = self._clock() - snapshot.age_s - delay_s
         self._told_at = max(self._told_at, read_at)
-        if news.place > self._version.place or not self._covers(self._board.home):
-            told = ListVersion(place=news.place, read_at=read_at, source=entry, cell=news.cell)
-            self._update(news.workers, told)
-        elif news.place == self._version.place:
+        if snapshot.place > self._version.offset or not self._covers(self._cell_directory.home):
+            told = ListVersion(
+                offset=snapshot.place, read_at=read_at, source=entry, cell=snapshot.cell
+            )
+            self._update(snapshot.workers, told)
+        elif snapshot.place == self._version.offset:
             read_at = max(read_at, self._version.read_at)
             self._version = replace(self._version, read_at=read_at)
 
@@ -198,21 +200,21 @@
         if version.source != self._version.source:
             age_ms = (self._clock() - version.read_at) * 1000
             log.info(
-                "list_source from=%s place=%d age_ms=%d", version.source, version.place, age_ms
+                "list_source from=%s place=%d age_ms=%d", version.source, version.offset, age_ms
             )
         self._version = version
-        self._listing.update({i.id: i for i in infos if self._names_service(i.service)})
+        self._known_workers.update({i.id: i for i in infos if self._has_service(i.service)})
         self._on_change()
 
     def _newest_read_at(self) -> float:
         """Return when the list was read; readings since that brought nothing new confirm it."""
-        if self._feed.place < self._version.place:
+        if self._feed.offset < self._version.offset:
             return self._version.read_at
         return max(self._version.read_at, self._feed.read_at)
 
     def _covers(self, cell: Cell) -> bool:
         """Return whether the workers of a cell are known here at all."""
-        return self._version.place >= 0 and self._version.cell in (None, cell.name)
+        return self._version.offset >= 0 and self._version.cell in (None, cell.name)
 
     def _has_fresh_news(self) -> bool:
         return self._clock() - self._told_at < NEWS_FRESH_S
--- a/zincwell/dispatch/_worker_news.py
+++ b/zincwell/dispatch/_worker_list_sender.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from zincwell.dispatch._cell_board import CellBoard
+from zincwell.dispatch._cell_directory import CellDirectory
 from zincwell.dispatch._directory import EntryDirectory
 from zincwell.dispatch._worker_list import WorkerList
 
@@ -15,17 +15,17 @@
 INFORMED_SUCCESSORS = 3
 
 
-class WorkerTeller:
+class WorkerListSender:
     """Passes the list of workers on to those who don't read it."""
 
     def __init__(
-        self, *, board: CellBoard, directory: EntryDirectory, worker_list: WorkerList
+        self, *, cell_directory: CellDirectory, directory: EntryDirectory, worker_list: WorkerList
     ) -> None:
-        self._board = board
+        self._cell_directory = cell_directory
         self._directory = directory
         self._worker_list = worker_list
 
-    def tell(self, beats: int) -> None:
+    def send_due(self, beats: int) -> None:
         """Tell whoever is due, by how many heartbeats there have been."""
         if beats % SUCCESSOR_NEWS_BEATS == 0:
             self._tell_successors()
@@ -33,21 +33,21 @@
             self._tell_other_parts()
 
     def _tell_successors(self) -> None:
-        news = self._worker_list.tell(self._board.home)
-        if news is None:
+        snapshot = self._worker_list.make_snapshot(self._cell_directory.home)
+        if snapshot is None:
             return
         for entry in self._directory.first_successors(INFORMED_SUCCESSORS):
-            self._directory.link(entry).send(news)
+            self._directory.link(entry).send(snapshot)
 
     def _tell_other_parts(self) -> None:
-        home = self._board.home
+        home = self._cell_directory.home
         if home.part or home.parts == 1:
             return
-        for cell in self._board.other_cells():
-            owner = self._board.owner_of(cell.name)
+        for cell in self._cell_directory.other_cells():
+            owner = self._cell_directory.owner_of(cell.name)
             if owner is None or cell.domains != home.domains:
                 continue
             link = self._directory.link(owner)
-            news = self._worker_list.tell(cell)
-            if news is not None and link.is_idle():
-                link.send(news)
+            snapshot = self._worker_list.make_snapshot(cell)
+            if snapshot is not None and link.is_idle():
+                link.send(snapshot)
