--- a/zincwell/dispatch/_worker.py
+++ b/zincwell/dispatch/_worker_session.py
@@ -6,15 +6,20 @@
 import asyncio
 import logging
 
-from zincwell.dispatch._orders import HOLD_WAIT_S, OrderLine
-from zincwell.dispatch._runs import Run, RunFate
-from zincwell.dispatch._tasks import TaskGroup
+from zincwell.dispatch._background import BackgroundTasks
+from zincwell.dispatch._runs import Run, RunOutcome
 from zincwell.dispatch._types import Limits, TaskId, WorkerInfo
-from zincwell.dispatch.decisions import MAX_PATIENCE_S, OWN_LATENESS_S, LossWatch, choose_wait_s
+from zincwell.dispatch._worker_calls import HOLD_WAIT_S, WorkerCalls
+from zincwell.dispatch.decisions import (
+    MAX_ANSWER_TIMEOUT_S,
+    MAX_LOOP_LAG_S,
+    AnswerLossDetector,
+    choose_long_poll_wait_s,
+)
 from zincwell.dispatch.ports import (
+    ActiveRun,
     EndKind,
     HoldReply,
-    RunningRow,
     StartStatus,
     WorkerCallError,
     WorkerClient,
@@ -50,7 +55,7 @@
         """Note that the worker took the fencing token and showed what it runs."""
 
     @abc.abstractmethod
-    def on_room(self) -> None:
+    def on_capacity_available(self) -> None:
         """Note that a worker may have room again."""
 
     @abc.abstractmethod
@@ -58,23 +63,23 @@
         """Note that a run was ordered or adopted."""
 
     @abc.abstractmethod
-    def on_run_ended(self, session: WorkerSession, run: Run, fate: RunFate) -> None:
+    def on_run_ended(self, session: WorkerSession, run: Run, outcome: RunOutcome) -> None:
         """Note that a run has left the worker."""
 
     @abc.abstractmethod
-    def least_wait_s(self) -> float:
+    def min_poll_interval_s(self) -> float:
         """Return the least time between two calls to a worker that this owner can bear."""
 
     @abc.abstractmethod
-    def on_listing(self, session: WorkerSession, clock_ms: int) -> None:
+    def on_progress_reported(self, session: WorkerSession, clock_ms: int) -> None:
         """Note that the worker has shown how far its runs are, at a time of its clock."""
 
     @abc.abstractmethod
-    def on_stranger(self, session: WorkerSession, task: TaskId, number: int) -> Run | None:
+    def on_orphaned_run(self, session: WorkerSession, task: TaskId, number: int) -> Run | None:
         """Return the run to adopt for a task that an earlier owner started, or None."""
 
     @abc.abstractmethod
-    def on_stranger_ended(self, task: TaskId, kind: EndKind) -> None:
+    def on_orphaned_run_ended(self, task: TaskId, kind: EndKind) -> None:
         """Note the end of a run that this owner did not order."""
 
     @abc.abstractmethod
@@ -97,21 +102,21 @@
         observer: WorkerObserver,
         fence: int,
         limits: Limits,
-        losses: LossWatch,
-        adopt_first: bool = False,
+        losses: AnswerLossDetector,
+        renew_only_adopted: bool = False,
     ) -> None:
         self.info = info
         self.runs: dict[TaskId, Run] = {}
-        self.strangers: dict[TaskId, int] = {}
-        self.strangers_since = 0.0
+        self.orphaned_runs: dict[TaskId, int] = {}
+        self.orphaned_since = 0.0
         self.held = False
         self.silent = False
         self.fenced = False
         self.replaced = False
         self.evacuated = False
         self.pause_until = 0.0
-        self.aside_until = 0.0
-        self.on_trial = False
+        self.quarantined_until = 0.0
+        self.on_probation = False
         self.consecutive_failures = 0
         self.failed_jobs: set[str] = set()
         self._used_cpu = 0
@@ -120,15 +125,15 @@
         self.last_answer_at = 0.0
         self._busy_at = 0.0
         self._asked_until = 0.0
-        self._adopt_first = adopt_first
+        self._renew_only_adopted = renew_only_adopted
         self._losses = losses
         self._observer = observer
-        self._line = OrderLine(info=info, client=client, fence=fence, limits=limits)
+        self._calls = WorkerCalls(info=info, client=client, fence=fence, limits=limits)
         self._loop = asyncio.get_running_loop()
         self._listed = True
         self._unlisted_at = 0.0
         self._retry = asyncio.Event()
-        self._tasks = TaskGroup()
+        self._tasks = BackgroundTasks()
 
     # -- life -------------------------------------------------------------------------------
 
@@ -171,8 +176,8 @@
         A silent worker is tried at once: with a healed partition behind the new token, what runs
         there lapses within a second unless it is held.
         """
-        self._line.fence = fence
-        self._adopt_first = False
+        self._calls.fence = fence
+        self._renew_only_adopted = False
         self._retry.set()
         if self.fenced:
             self.fenced = False
@@ -184,25 +189,30 @@
             self.held
             and not self.silent
             and not self.fenced
-            and self.is_open()
-            and not self.strangers
+            and self.is_schedulable()
+            and not self.orphaned_runs
             and now >= self.pause_until
-            and now >= self.aside_until
-            and not (self.on_trial and self.runs)
+            and now >= self.quarantined_until
+            and not (self.on_probation and self.runs)
         )
 
     def can_serve(self, now: float) -> bool:
         """Return whether the worker takes part in what the owner can do."""
-        return self.held and not self.silent and self.is_open() and now >= self.aside_until
+        return (
+            self.held
+            and not self.silent
+            and self.is_schedulable()
+            and now >= self.quarantined_until
+        )
 
-    def is_open(self) -> bool:
+    def is_schedulable(self) -> bool:
         """Return whether the worker is to get new work: it neither leaves nor is evacuated."""
         return not self.info.draining and not self.evacuated
 
-    def set_aside(self, *, until: float) -> None:
+    def quarantine(self, *, until: float) -> None:
         """Start nothing until a moment, and one run at a time after it until one shows speed."""
-        self.aside_until = until
-        self.on_trial = True
+        self.quarantined_until = until
+        self.on_probation = True
 
     def count_of_step(self, job: str, step: int) -> int:
         """Return how many tasks of a step run here."""
@@ -241,14 +251,14 @@
         run.stop_sent_at = self._loop.time()
         self._tasks.spawn(self._stop(run.task, run.number))
 
-    def stop_strangers(self) -> None:
+    def stop_orphaned_runs(self) -> None:
         """Order the end of runs that belong to no job of this owner."""
-        for task, number in self.strangers.items():
+        for task, number in self.orphaned_runs.items():
             self._tasks.spawn(self._stop(task, number))
 
     def adopt(self, run: Run) -> None:
         """Take over a run that an earlier owner started."""
-        self.strangers.pop(run.task, None)
+        self.orphaned_runs.pop(run.task, None)
         run.confirmed_at = self._loop.time()
         run.answered = True
         self._add(run)
@@ -256,12 +266,12 @@
     async def _start(self, run: Run, spec: str) -> None:
         self._look_later(run)
         try:
-            reply = await self._line.start(run, spec)
+            reply = await self._calls.start(run, spec)
         except WorkerCallError as error:
             self._note_unanswered(run, error)
             return
         except WorkerFencedError:
-            self._leave(run, RunFate.NOT_STARTED)
+            self._leave(run, RunOutcome.NOT_STARTED)
             self._note_fenced()
             return
         except WorkerReplacedError:
@@ -271,7 +281,7 @@
         if reply.status is StartStatus.STARTED:
             run.confirmed_at = run.confirmed_at or self._loop.time()
             if reply.clock_ms is not None:
-                run.note_begun(reply.clock_ms)
+                run.note_started(reply.clock_ms)
             return
         self._refused(run, reply.status)
 
@@ -293,7 +303,7 @@
             self.silent = True
 
     def _look_later(self, run: Run) -> None:
-        due_at = self._loop.time() + self._line.patience_s()
+        due_at = self._loop.time() + self._calls.answer_timeout_s()
         self._loop.call_at(due_at, self._look_into, run, due_at)
 
     def _look_into(self, run: Run, due_at: float) -> None:
@@ -304,7 +314,7 @@
         """
         if run.answered or run.confirmed_at is not None or self.runs.get(run.task) is not run:
             return
-        if self._loop.time() - due_at > OWN_LATENESS_S:
+        if self._loop.time() - due_at > MAX_LOOP_LAG_S:
             self._look_later(run)
         else:
             self._tasks.spawn(self._resolve(run))
@@ -321,7 +331,7 @@
             await self._hold(0.0)
             if run.confirmed_at is not None or self.runs.get(run.task) is not run:
                 return
-            await self._line.stop(run.task, run.number)
+            await self._calls.stop(run.task, run.number)
             run.voided_at = self._loop.time()
             log.info("start_voided worker=%s task=%s run=%d", self.info.id, run.task, run.number)
             await self._hold(0.0)
@@ -344,13 +354,13 @@
         if status in (StartStatus.UNHEALTHY, StartStatus.NO_ROOM):
             pause = UNHEALTHY_PAUSE_S if status is StartStatus.UNHEALTHY else RETRY_PAUSE_S
             self.pause_until = self._loop.time() + pause
-            self._loop.call_later(pause, self._observer.on_room)
-        fate = RunFate.FAILED if status is StartStatus.INVALID else RunFate.NOT_STARTED
-        self._leave(run, fate)
+            self._loop.call_later(pause, self._observer.on_capacity_available)
+        outcome = RunOutcome.FAILED if status is StartStatus.INVALID else RunOutcome.NOT_STARTED
+        self._leave(run, outcome)
 
     async def _stop(self, task: TaskId, number: int) -> None:
         try:
-            await self._line.stop(task, number)
+            await self._calls.stop(task, number)
         except WorkerFencedError:
             self._note_fenced()
         except (WorkerCallError, WorkerReplacedError) as error:
@@ -385,7 +395,7 @@
             failures += 1
             if self._loop.time() - self.last_answer_at > UNSEEN_S:
                 self.held = False
-            if self.runs and self._line.has_lapsed():
+            if self.runs and self._calls.has_lapsed():
                 log.warning("lease_lapsed worker=%s runs=%d", self.info.id, len(self.runs))
                 self._leave_all()
             await self._pause(failures)
@@ -409,26 +419,26 @@
         of the shortest tasks, and with one call in fifteen lost it is what most jobs wait for.
         """
         now = self._loop.time()
-        wait_s = choose_wait_s(
-            longest_s=HOLD_WAIT_S,
+        wait_s = choose_long_poll_wait_s(
+            max_wait_s=HOLD_WAIT_S,
             next_end_s=self._next_end_s(now),
             lossy=self._losses.is_lossy(now),
-            least_s=self._observer.least_wait_s(),
-            empty_s=now - self._busy_at,
+            min_wait_s=self._observer.min_poll_interval_s(),
+            idle_s=now - self._busy_at,
         )
         self._asked_until = now + wait_s
-        patience_s = self._line.patience_s()
+        answer_timeout_s = self._calls.answer_timeout_s()
         try:
-            await self._hold(wait_s, patience_s=patience_s)
+            await self._hold(wait_s, answer_timeout_s=answer_timeout_s)
         except WorkerCallError as error:
-            late_s = self._loop.time() - now - wait_s - patience_s
+            late_s = self._loop.time() - now - wait_s - answer_timeout_s
             log.info('hold_lost worker=%s error="%s"', self.info.id, error)
             asked_at = self._loop.time()
             await self._hold(0.0)
-            self._losses.note_given_up(
+            self._losses.note_timeout(
                 self._loop.time(),
                 late_s=late_s,
-                patience_s=patience_s,
+                answer_timeout_s=answer_timeout_s,
                 next_answer_s=self._loop.time() - asked_at,
             )
 
@@ -437,17 +447,17 @@
         lefts = (run.left_s(now, expected_s=run.expected_s) for run in self.runs.values())
         return min(lefts, default=None)
 
-    async def _hold(self, wait_s: float, *, patience_s: float = MAX_PATIENCE_S) -> None:
+    async def _hold(self, wait_s: float, *, answer_timeout_s: float = MAX_ANSWER_TIMEOUT_S) -> None:
         sent_at = self._loop.time()
-        reply = await self._line.hold(
-            extend=self._may_extend(), wait_s=wait_s, patience_s=patience_s
+        reply = await self._calls.hold(
+            extend=self._may_extend(), wait_s=wait_s, answer_timeout_s=answer_timeout_s
         )
         self.last_answer_at = self._loop.time()
         self._apply(reply, sent_at)
         if self.silent:
             log.info("worker_back worker=%s runs=%d", self.info.id, len(self.runs))
             self.silent = False
-            self._observer.on_room()
+            self._observer.on_capacity_available()
         if not self.held:
             self.held = True
             self._observer.on_held(self)
@@ -459,25 +469,25 @@
         lease that was asked for puts off the moment when its runs are surely dead.
 
         Unknown runs of an owner that may live behind a partition are not extended when
-        ``adopt_first`` is set: it counts on their lapsing and starts them elsewhere.
+        ``renew_only_adopted`` is set: it counts on their lapsing and starts them elsewhere.
         """
         if self.silent:
             return False
-        return not self._adopt_first or (self.held and not self.strangers)
+        return not self._renew_only_adopted or (self.held and not self.orphaned_runs)
 
     def _apply(self, reply: HoldReply, sent_at: float) -> None:
         now = self._loop.time()
         for row in reply.ended:
-            if row.number <= self._line.acknowledged:
+            if row.number <= self._calls.acknowledged:
                 continue
-            self._line.acknowledged = row.number
-            self.strangers.pop(row.task, None)
+            self._calls.acknowledged = row.number
+            self.orphaned_runs.pop(row.task, None)
             run = self.runs.get(row.task)
             if run is None or run.number != row.run:
-                self._observer.on_stranger_ended(row.task, row.kind)
+                self._observer.on_orphaned_run_ended(row.task, row.kind)
                 continue
-            self._leave(run, _fate_of(row.kind))
-        if not self._line.clock.read(reply.clock_ms):
+            self._leave(run, _outcome_of(row.kind))
+        if not self._calls.clock.update(reply.clock_ms):
             # Overtaken by a later answer on another connection, so what it lists may have ended.
             return
         listed = set()
@@ -486,21 +496,23 @@
             self._see_running(row, reply.clock_ms, now)
         for run in list(self.runs.values()):
             if run.task not in listed and self._is_gone(run, reply.clock_ms, sent_at):
-                fate = RunFate.LOST if run.confirmed_at is not None else RunFate.NOT_STARTED
-                self._leave(run, fate)
-        for task in list(self.strangers):
+                outcome = (
+                    RunOutcome.LOST if run.confirmed_at is not None else RunOutcome.NOT_STARTED
+                )
+                self._leave(run, outcome)
+        for task in list(self.orphaned_runs):
             if task not in listed:
-                del self.strangers[task]
-        self._observer.on_listing(self, reply.clock_ms)
+                del self.orphaned_runs[task]
+        self._observer.on_progress_reported(self, reply.clock_ms)
 
-    def _see_running(self, row: RunningRow, clock_ms: int, now: float) -> None:
+    def _see_running(self, row: ActiveRun, clock_ms: int, now: float) -> None:
         run = self.runs.get(row.task)
         if run is None:
-            run = self._observer.on_stranger(self, row.task, row.run)
+            run = self._observer.on_orphaned_run(self, row.task, row.run)
             if run is None:
-                if not self.strangers:
-                    self.strangers_since = now
-                self.strangers[row.task] = row.run
+                if not self.orphaned_runs:
+                    self.orphaned_since = now
+                self.orphaned_runs[row.task] = row.run
                 return
             self.adopt(run)
         if run.number != row.run:
@@ -546,7 +558,7 @@
         self._used_memory += run.memory_mb
         self._used_gpu += run.gpu
 
-    def _leave(self, run: Run, fate: RunFate) -> None:
+    def _leave(self, run: Run, outcome: RunOutcome) -> None:
         if self.runs.get(run.task) is not run:
             return
         del self.runs[run.task]
@@ -554,13 +566,13 @@
         self._used_cpu -= run.cpu
         self._used_memory -= run.memory_mb
         self._used_gpu -= run.gpu
-        self._observer.on_run_ended(self, run, fate)
+        self._observer.on_run_ended(self, run, outcome)
 
     def _leave_all(self) -> None:
         """Give up all runs: the worker's life or its lease has ended."""
-        self.strangers.clear()
+        self.orphaned_runs.clear()
         for run in list(self.runs.values()):
-            self._leave(run, RunFate.LOST)
+            self._leave(run, RunOutcome.LOST)
 
     def _note_replaced(self) -> None:
         if not self.silent:
@@ -574,9 +586,9 @@
         self._observer.on_fenced(self)
 
 
-def _fate_of(kind: EndKind) -> RunFate:
+def _outcome_of(kind: EndKind) -> RunOutcome:
     if kind is EndKind.DONE:
-        return RunFate.DONE
+        return RunOutcome.DONE
     if kind is EndKind.FAILED:
-        return RunFate.FAILED
-    return RunFate.STOPPED if kind is EndKind.STOPPED else RunFate.LOST
+        return RunOutcome.FAILED
+    return RunOutcome.STOPPED if kind is EndKind.STOPPED else RunOutcome.LOST
--- a/zincwell/dispatch/_workers.py
+++ b/zincwell/dispatch/_worker_set.py
@@ -7,7 +7,7 @@
 
 from zincwell.dispatch._placement import could_ever_fit
 from zincwell.dispatch._types import JobRequest, Step, WorkerInfo
-from zincwell.dispatch._worker import WorkerSession
+from zincwell.dispatch._worker_session import WorkerSession
 
 log = logging.getLogger("zincwell.owner")
 
@@ -63,13 +63,13 @@
                 session.close()
                 del self.sessions_by_id[worker_id]
 
-    def expect(self, infos: Iterable[WorkerInfo]) -> None:
+    def probe_unlisted(self, infos: Iterable[WorkerInfo]) -> None:
         """Hold workers that are not listed any more, if they still answer."""
         for info in infos:
             if info.id not in self.sessions_by_id and self._serves(info):
                 self._open(info).set_listed(False)
 
-    def extend(self, fence: int) -> None:
+    def raise_fence(self, fence: int) -> None:
         """Hold all workers under a higher fencing token from now on."""
         for session in self.sessions_by_id.values():
             session.raise_fence(fence)
--- a/zincwell/dispatch/decisions/__init__.py
+++ b/zincwell/dispatch/decisions/__init__.py
@@ -5,12 +5,16 @@
 """
 
 from zincwell.dispatch.decisions._admission import (
-    LATEST_OBJECTIVES,
+    ANSWER_EXPIRY_OBJECTIVES,
     Prospect,
     choose_retry_s,
     count_waves,
-    judge_behind,
-    judge_in_order,
+    judge_late_job,
+    meets_objective,
+)
+from zincwell.dispatch.decisions._answer_timeouts import (
+    MAX_ANSWER_TIMEOUT_S,
+    AnswerTimeoutEstimator,
 )
 from zincwell.dispatch.decisions._cells import (
     WORKERS_PER_CORE,
@@ -20,23 +24,22 @@
 )
 from zincwell.dispatch.decisions._forecast import Demand, FreeCores, Projection, Replay
 from zincwell.dispatch.decisions._load import OfferedLoad
-from zincwell.dispatch.decisions._patience import MAX_PATIENCE_S, AnswerTimes
 from zincwell.dispatch.decisions._polling import (
-    OWN_LATENESS_S,
-    LossWatch,
-    choose_wait_s,
-    least_wait_s,
+    MAX_LOOP_LAG_S,
+    AnswerLossDetector,
+    choose_long_poll_wait_s,
+    min_poll_interval_s,
 )
 from zincwell.dispatch.decisions._runtimes import SLOW_WORKER, RunTimes
 from zincwell.dispatch.decisions._spread import (
-    NO_WORKERS_S,
-    SUSPECT_S,
+    NO_WORKERS_BACKLOG_S,
+    SUSPECT_AFTER_S,
     CellState,
     choose_other_cell,
-    is_served_at_home,
+    should_use_home_cell,
 )
 from zincwell.dispatch.decisions._stragglers import (
-    MIN_PERCENT,
+    MIN_PROGRESS_PERCENT,
     is_slow_run,
     is_slow_worker,
     is_stalled,
@@ -44,37 +47,37 @@
 )
 
 __all__ = [
-    "LATEST_OBJECTIVES",
-    "MAX_PATIENCE_S",
-    "MIN_PERCENT",
-    "NO_WORKERS_S",
-    "OWN_LATENESS_S",
+    "ANSWER_EXPIRY_OBJECTIVES",
+    "MAX_ANSWER_TIMEOUT_S",
+    "MAX_LOOP_LAG_S",
+    "MIN_PROGRESS_PERCENT",
+    "NO_WORKERS_BACKLOG_S",
     "SLOW_WORKER",
-    "SUSPECT_S",
+    "SUSPECT_AFTER_S",
     "WORKERS_PER_CORE",
-    "AnswerTimes",
+    "AnswerLossDetector",
+    "AnswerTimeoutEstimator",
     "CellShape",
     "CellState",
     "Demand",
     "DomainSize",
     "FreeCores",
-    "LossWatch",
     "OfferedLoad",
     "Projection",
     "Prospect",
     "Replay",
     "RunTimes",
+    "choose_long_poll_wait_s",
     "choose_other_cell",
     "choose_retry_s",
-    "choose_wait_s",
     "count_waves",
-    "is_served_at_home",
     "is_slow_run",
     "is_slow_worker",
     "is_stalled",
-    "judge_behind",
-    "judge_in_order",
-    "least_wait_s",
+    "judge_late_job",
+    "meets_objective",
+    "min_poll_interval_s",
     "pays_to_move",
     "plan_cells",
+    "should_use_home_cell",
 ]
--- a/zincwell/dispatch/decisions/_admission.py
+++ b/zincwell/dispatch/decisions/_admission.py
@@ -19,7 +19,7 @@
 
 # A late answer is of use until this many objectives have passed. A job is kept only if by the
 # forecast it ends a little before: while it waits behind, every job that comes may go first.
-LATEST_OBJECTIVES = 2.5
+ANSWER_EXPIRY_OBJECTIVES = 2.5
 # With less work arriving than this share of what the workers can do, what waits behind gets its
 # turn soon; with more than the other, it does not before the burst is over. A choice: a tenth on
 # either side of full, for what a second of arrivals can't tell.
@@ -49,18 +49,18 @@
     return max(1, math.ceil(tasks * cpu / (WAVE_SHARE * pool_cpu)))
 
 
-def judge_in_order(*, end_age_s: float, objective_s: float) -> bool:
+def meets_objective(*, end_age_s: float, objective_s: float) -> bool:
     """Return whether a job that ends at an age keeps its place."""
     return end_age_s <= objective_s
 
 
-def judge_behind(*, end_age_s: float, objective_s: float, load: float) -> Prospect:
+def judge_late_job(*, end_age_s: float, objective_s: float, load: float) -> Prospect:
     """Return what a job can hope for that waits behind all that can be in time.
 
     :param load: the work that arrives as a share of what the workers can do.
     """
     calm = min(max((FULL_LOAD - load) / (FULL_LOAD - CALM_LOAD), 0.0), 1.0)
-    latest_s = objective_s * (1 + calm * (LATEST_OBJECTIVES - 1))
+    latest_s = objective_s * (1 + calm * (ANSWER_EXPIRY_OBJECTIVES - 1))
     return Prospect.LATE if end_age_s <= latest_s else Prospect.NONE
 
 
--- a/zincwell/dispatch/decisions/_patience.py
+++ b/zincwell/dispatch/decisions/_answer_timeouts.py
@@ -10,10 +10,10 @@
 
 # Answers take 2 to 5 ms. A task of the shortest kind runs for 60 ms, so a lost answer that is
 # noticed after this many seconds makes its caller wait a third longer.
-MIN_PATIENCE_S = 0.02
+MIN_ANSWER_TIMEOUT_S = 0.02
 # Seconds after which a connection counts as silent in any case. A take-over takes 0.55 s of a lease
 # of 1 s; what is left bears one call that is given up.
-MAX_PATIENCE_S = 0.25
+MAX_ANSWER_TIMEOUT_S = 0.25
 # Weights of the newest answer in the usual time and in its variation, and how many variations are
 # waited for: those of TCP's timer (RFC 6298).
 TIME_WEIGHT = 1 / 8
@@ -23,7 +23,7 @@
 BACK_OFF = 2
 
 
-class AnswerTimes:
+class AnswerTimeoutEstimator:
     """Follows how long one worker takes to answer."""
 
     def __init__(self) -> None:
@@ -42,13 +42,13 @@
         self._variation_s += VARIATION_WEIGHT * (error_s - self._variation_s)
         self._usual_s += TIME_WEIGHT * (answer_s - self._usual_s)
 
-    def note_given_up(self) -> None:
+    def note_timeout(self) -> None:
         """Take note of a call that got no answer in time."""
         self._back_off *= BACK_OFF
 
-    def patience_s(self) -> float:
+    def answer_timeout_s(self) -> float:
         """Return after how many seconds without an answer a call is taken for lost."""
         if self._usual_s is None:
-            return MAX_PATIENCE_S
+            return MAX_ANSWER_TIMEOUT_S
         usual_s = self._usual_s + VARIATIONS * self._variation_s
-        return min(max(usual_s, MIN_PATIENCE_S) * self._back_off, MAX_PATIENCE_S)
+        return min(max(usual_s, MIN_ANSWER_TIMEOUT_S) * self._back_off, MAX_ANSWER_TIMEOUT_S)
--- a/zincwell/dispatch/decisions/_load.py
+++ b/zincwell/dispatch/decisions/_load.py
@@ -22,7 +22,7 @@
         self._work = 0.0
         self._at = 0.0
 
-    def note_job(self, *, work: float, now: float) -> None:
+    def note_arrival(self, *, work: float, now: float) -> None:
         """Take note of a job that has just arrived.
 
         :param work: its core-seconds, in thousandths of a core.
--- a/zincwell/dispatch/decisions/_polling.py
+++ b/zincwell/dispatch/decisions/_polling.py
@@ -23,7 +23,7 @@
 LOSSES_WITHIN_S = 1.0
 # A call that was given up this many seconds after its time was over says nothing: the owner itself
 # was late, and its answer may lie unread in a socket. Asking more often would make it later.
-OWN_LATENESS_S = 0.005
+MAX_LOOP_LAG_S = 0.005
 # A run should have ended this many seconds after its expected end.
 END_MARGIN_S = 0.01
 # Asked more often than this, the calls are more work than the runs.
@@ -40,23 +40,23 @@
 IDLE_WAIT_S = 0.06
 
 
-class LossWatch:
+class AnswerLossDetector:
     """Knows whether answers of workers get lost these seconds."""
 
     def __init__(self) -> None:
         self._lost_at: deque[float] = deque(maxlen=LOSSES)
         self._lossy_until = float("-inf")
 
-    def note_given_up(
-        self, now: float, *, late_s: float, patience_s: float, next_answer_s: float
+    def note_timeout(
+        self, now: float, *, late_s: float, answer_timeout_s: float, next_answer_s: float
     ) -> None:
         """Take note of a call without an answer, to a worker that has answered the next one.
 
         :param late_s: how long after its time the call was given up.
-        :param patience_s: how long its answer might have taken.
+        :param answer_timeout_s: how long its answer might have taken.
         :param next_answer_s: how long the next answer took.
         """
-        if late_s > OWN_LATENESS_S or next_answer_s > patience_s:
+        if late_s > MAX_LOOP_LAG_S or next_answer_s > answer_timeout_s:
             return
         self._lost_at.append(now)
         if len(self._lost_at) == LOSSES and now - self._lost_at[0] < LOSSES_WITHIN_S:
@@ -67,27 +67,27 @@
         return now < self._lossy_until
 
 
-def least_wait_s(*, workers: int, cores: float) -> float:
+def min_poll_interval_s(*, workers: int, cores: float) -> float:
     """Return the least time between two calls to a worker that an owner of so many can bear."""
     return max(MIN_WAIT_S, workers * ASK_COST_S / (cores * ASK_SHARE))
 
 
-def choose_wait_s(
+def choose_long_poll_wait_s(
     *,
-    longest_s: float,
+    max_wait_s: float,
     next_end_s: float | None,
     lossy: bool,
-    least_s: float = MIN_WAIT_S,
-    empty_s: float = 0.0,
+    min_wait_s: float = MIN_WAIT_S,
+    idle_s: float = 0.0,
 ) -> float:
     """Return how long a worker may wait for an end.
 
     :param next_end_s: when its next run should end, or None if it has no runs.
-    :param least_s: never less than this.
-    :param empty_s: for how long it has had no runs.
+    :param min_wait_s: never less than this.
+    :param idle_s: for how long it has had no runs.
     """
     if not lossy:
-        is_quiet = next_end_s is None and empty_s > QUIET_AFTER_S
-        return max(longest_s, QUIET_WAIT_S) if is_quiet else longest_s
+        is_quiet = next_end_s is None and idle_s > QUIET_AFTER_S
+        return max(max_wait_s, QUIET_WAIT_S) if is_quiet else max_wait_s
     wait_s = IDLE_WAIT_S if next_end_s is None else next_end_s + END_MARGIN_S
-    return min(max(wait_s, least_s), longest_s)
+    return min(max(wait_s, min_wait_s), max_wait_s)
--- a/zincwell/dispatch/decisions/_spread.py
+++ b/zincwell/dispatch/decisions/_spread.py
@@ -27,11 +27,11 @@
 # as much between two reports, and the objective of the shortest jobs is twice as long.
 WORTH_MOVING_S = 0.05
 # The backlog of a cell without workers, in seconds.
-NO_WORKERS_S = 3600.0
+NO_WORKERS_BACKLOG_S = 3600.0
 # What a cell said of itself longer ago says nothing about now, in seconds.
 FRESH_S = 1.0
 # An owner that was not heard for this many seconds may be gone: its heartbeats come each 0.1 s.
-SUSPECT_S = 0.25
+SUSPECT_AFTER_S = 0.25
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -60,12 +60,12 @@
 
     def has_workers(self) -> bool:
         """Return whether there is anything to wait for."""
-        return self.backlog_s < NO_WORKERS_S
+        return self.backlog_s < NO_WORKERS_BACKLOG_S
 
 
-def is_served_at_home(home: CellState) -> bool:
+def should_use_home_cell(home: CellState) -> bool:
     """Return whether a new job should stay in the own cell."""
-    return home.silence_s < SUSPECT_S and home.backlog_s < BEARABLE_BACKLOG_S
+    return home.silence_s < SUSPECT_AFTER_S and home.backlog_s < BEARABLE_BACKLOG_S
 
 
 def choose_other_cell(
@@ -95,7 +95,7 @@
     Of two that chance picks it is the one with the shorter queue: if all entries sent their jobs
     to the shortest of all, that one would be the longest at the next report.
     """
-    limit_s = min(home_wait_s, NO_WORKERS_S) - WORTH_MOVING_S
+    limit_s = min(home_wait_s, NO_WORKERS_BACKLOG_S) - WORTH_MOVING_S
     names = sorted(
         name for name, state in others.items() if state.is_heard() and state.backlog_s < limit_s
     )
--- a/zincwell/dispatch/decisions/_stragglers.py
+++ b/zincwell/dispatch/decisions/_stragglers.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 
 # Progress is told in whole percent. Below this many, how long a run takes can't be told.
-MIN_PERCENT = 2.0
+MIN_PROGRESS_PERCENT = 2.0
 # A run shows no progress for this share of its expected time, within these bounds: it stands
 # still. One on a worker that is ten times slower would have shown 2% by then. Workers are looked
 # at every 0.25 s, which is why less than half of that would say nothing.
@@ -34,12 +34,12 @@
 MAX_MOVES = 2
 
 
-def is_stalled(*, still_s: float, expected_s: float) -> bool:
+def is_stalled(*, stalled_s: float, expected_s: float) -> bool:
     """Return whether a run stands still.
 
-    :param still_s: for how long its worker has shown no progress of it.
+    :param stalled_s: for how long its worker has shown no progress of it.
     """
-    return still_s >= min(max(STALL_SHARE * expected_s, MIN_STALL_S), MAX_STALL_S)
+    return stalled_s >= min(max(STALL_SHARE * expected_s, MIN_STALL_S), MAX_STALL_S)
 
 
 def is_slow_run(ratio: float) -> bool:
--- a/zincwell/dispatch/ports.py
+++ b/zincwell/dispatch/ports.py
@@ -137,7 +137,7 @@
     clock_ms: int | None = None
 
 
-class RunningRow(Struct, frozen=True, kw_only=True):
+class ActiveRun(Struct, frozen=True, kw_only=True):
     """A run at work; ``percent`` is how far it is."""
 
     task: TaskId
@@ -155,7 +155,7 @@
     BROKEN = "broken"
 
 
-class EndedRow(Struct, frozen=True, kw_only=True):
+class EndedRun(Struct, frozen=True, kw_only=True):
     """A run that has ended; ``number`` rises by one within a life of the worker."""
 
     number: int
@@ -168,8 +168,8 @@
     """What a worker runs and what ended since the acknowledged number."""
 
     clock_ms: int
-    running: list[RunningRow]
-    ended: list[EndedRow]
+    running: list[ActiveRun]
+    ended: list[EndedRun]
 
 
 class WorkerClient(abc.ABC):
--- a/zincwell/logs.py
+++ b/zincwell/logs.py
@@ -39,7 +39,7 @@
     return f'"{escaped}"'
 
 
-def set_up_logs(level: str, *, stream: TextIO | None = None) -> None:
+def configure_logging(level: str, *, stream: TextIO | None = None) -> None:
     """Send zincwell's events to a stream, standard error unless given.
 
     :param level: debug, info, warning or error.
@@ -94,7 +94,7 @@
             self._dropped += 1
 
 
-def set_up_bounded_logs(level: int) -> None:
+def configure_bounded_logging(level: int) -> None:
     """Send zincwell's events to standard output; messages begin with the event's name."""
     handler = BoundedHandler()
     handler.setFormatter(
--- a/zincwell/platform/_callers.py
+++ b/zincwell/platform/_callers.py
@@ -45,7 +45,7 @@
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer one call."""
-        configuration = await self._node.wait_configured()
+        configuration = await self._node.wait_for_configuration()
         if configuration is None:
             return _refuse(request, 503, "no configuration yet", UNCONFIGURED_RETRY_S)
         host = request.headers.get("host", "").partition(":")[0]
@@ -62,7 +62,7 @@
         if request.method == "GET":
             return self._show(route, job_id)
         if request.method == "DELETE":
-            cancelled = self._node.desk.cancel(job_id)
+            cancelled = self._node.pending_jobs.cancel(job_id)
             return _reply(200, {"state": "cancelled"}) if cancelled else _error(410, "no such job")
         return _error(405, "method not allowed")
 
@@ -73,7 +73,7 @@
             return _refuse(request, 501, str(error))
         except BadRequestError as error:
             return _refuse(request, 400, str(error))
-        outcome = await self._node.desk.run(job)
+        outcome = await self._node.pending_jobs.run(job)
         response = _answer(outcome)
         response.close = self._node.leaving
         return response
@@ -81,7 +81,7 @@
     def _show(self, route: Route, job_id: str) -> HttpResponse:
         if not job_id:
             return _reply(200, {"pending": self._node.pending_by_route.get(route.name, 0)})
-        if self._node.desk.state_of(job_id):
+        if self._node.pending_jobs.is_pending(job_id):
             return _reply(200, {"state": "running"})
         return _error(410, "no such job")
 
--- a/zincwell/platform/_process.py
+++ b/zincwell/platform/_process.py
@@ -16,7 +16,7 @@
 from zincwell.dispatch import Node
 from zincwell.dispatch._types import EntryInfo
 from zincwell.exceptions import SettingsError
-from zincwell.logs import set_up_bounded_logs
+from zincwell.logs import configure_bounded_logging
 from zincwell.loops import new_event_loop
 from zincwell.platform._callers import CallerListener, MetricsListener, ReadyListener
 from zincwell.platform._http import HttpCaller
@@ -40,7 +40,7 @@
     """Run until SIGTERM; return the exit status."""
     # A crash in a compiled library leaves no Python error; this writes where it happened.
     faulthandler.enable()
-    set_up_bounded_logs(logging.INFO)
+    configure_bounded_logging(logging.INFO)
     path = Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS))
     try:
         settings = read_settings(path)
--- a/zincwell/platform/_server.py
+++ b/zincwell/platform/_server.py
@@ -13,7 +13,7 @@
 import httptools
 import msgspec
 
-from zincwell.dispatch import TaskGroup
+from zincwell.dispatch import BackgroundTasks
 
 log = logging.getLogger("zincwell.http")
 
@@ -123,7 +123,7 @@
         self._ends = False
         self._loop = asyncio.get_running_loop()
         self._heard_at = self._loop.time()
-        self._tasks = TaskGroup()
+        self._tasks = BackgroundTasks()
         self._begin()
 
     def close(self) -> None:
--- a/zincwell/platform/_wire.py
+++ b/zincwell/platform/_wire.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from zincwell.dispatch._types import Configuration, JobRequest, Route, Step, TaskId, WorkerInfo
-from zincwell.dispatch.ports import EndedRow, EndKind, HoldReply, RunningRow
+from zincwell.dispatch.ports import ActiveRun, EndedRun, EndKind, HoldReply
 from zincwell.exceptions import BadRequestError, DocumentError
 
 JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
@@ -282,11 +282,11 @@
     return HoldReply(
         clock_ms=reply.clock_ms or 0,
         running=[
-            RunningRow(task=parse_task(row[0]), run=int(row[1]), percent=float(row[3]))
+            ActiveRun(task=parse_task(row[0]), run=int(row[1]), percent=float(row[3]))
             for row in reply.running
         ],
         ended=[
-            EndedRow(
+            EndedRun(
                 number=int(row[0]),
                 task=parse_task(row[1]),
                 run=int(row[2]),
