--- a/zincwell/dispatch/__init__.py
+++ b/zincwell/dispatch/__init__.py
@@ -1,7 +1,8 @@
-"""Dispatch jobs over one pool of workers that a single owner schedules.
+"""Dispatch jobs over a pool of workers that a single owner schedules.
 
-One entry owns the pool: it alone gives orders to workers, under a fencing token. Every entry
-takes jobs from callers, hands them to the owner and answers. docs/design/platform.md tells why.
+One entry owns the pool: only it sends orders to the workers, with a fencing token. Every entry
+accepts jobs from callers, submits them to the owner and returns the answers. See
+docs/design/platform.md for the reasons.
 """
 
 from zincwell.dispatch._background import BackgroundTasks
--- a/zincwell/dispatch/_types.py
+++ b/zincwell/dispatch/_types.py
@@ -1,4 +1,4 @@
-"""What entries, workers and the store say to each other, in zincwell's words."""
+"""Data types of the dispatcher, independent of the formats of the platform."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
     """Time limits that the platform sets, in seconds.
 
     :param max_lease_s: longest lease that a worker grants.
-    :param thaw_slack_s: how long a worker that was paused may run on past its lease.
+    :param thaw_slack_s: how long a worker may go on past its lease when it resumes after a pause.
     :param drain_grace_s: time between SIGTERM and SIGKILL.
-    :param leave_notice_s: how long after it has said that it leaves a worker may get new work.
+    :param leave_notice_s: how long a worker may still receive tasks after it has announced its
+        shutdown.
     """
 
     max_lease_s: float = 1.0
@@ -24,25 +25,25 @@
 
 
 class TaskId(NamedTuple):
-    """Names one task of one job."""
+    """Identifies one task of a job."""
 
     job: str
     step: int
     index: int
 
     def __str__(self) -> str:
-        """Return the task as logs show it."""
+        """Return the task as formatted in log lines."""
         return f"{self.job}.{self.step}.{self.index}"
 
 
 class Step(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Tasks of the same size that may run side by side.
+    """Tasks of equal size that may run in parallel.
 
     :param cpu: thousandths of a core for each task.
-    :param after: numbers of earlier steps that must be done first.
+    :param after: indexes of the steps that must be done first; only earlier ones.
     :param label: label that the worker must have, or empty.
-    :param rack: rack where the data is, or empty.
-    :param max_per_worker: most tasks of the step on one worker; 0 for any number.
+    :param rack: rack that stores the input data, or empty.
+    :param max_per_worker: maximum number of tasks of the step on one worker; 0 for no limit.
     """
 
     count: int
@@ -57,13 +58,13 @@
 
 
 class JobRequest(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A caller's job, with what the route it came by says of it.
+    """A caller's job, with the settings of its route.
 
     :param spec: what to run, opaque to the dispatcher.
     :param priority: 0 is served first.
-    :param attempts: failed runs of one task after which the job has failed.
-    :param stretch: how many times its own run time a job may take within its objective.
-    :param objective_ms: time that the objective allows on top.
+    :param attempts: number of failed runs of one task after which the job fails.
+    :param stretch: factor on the estimated run time in the response time objective.
+    :param objective_ms: constant part of the response time objective.
     """
 
     id: str
@@ -77,7 +78,7 @@
     objective_ms: int = 0
 
     def critical_path_ms(self) -> int:
-        """Return the estimated run time of the longest chain of steps."""
+        """Return the estimated run time of the longest chain of dependent steps."""
         ends: list[int] = []
         for step in self.steps:
             start = max((ends[number] for number in step.after), default=0)
@@ -85,11 +86,11 @@
         return max(ends)
 
     def work(self) -> float:
-        """Return the estimated core-seconds of all tasks, in thousandths of a core."""
+        """Return the estimated work of all tasks, in thousandths of a core-second."""
         return sum(step.count * step.cpu * step.estimate_ms / 1000 for step in self.steps)
 
     def slo_s(self) -> float:
-        """Return the time within which an answer counts as in time, by the estimates."""
+        """Return the response time objective in seconds, based on the estimates."""
         return (self.stretch * self.critical_path_ms() + self.objective_ms) / 1000
 
 
@@ -109,7 +110,7 @@
 class Outcome(Struct, frozen=True, kw_only=True, omit_defaults=True):
     """The answer to a job.
 
-    :param retry_after_s: when coming back is worth a try; with ``refused`` and ``unknown``.
+    :param retry_after_s: suggested delay of a retry; with ``refused`` and ``unknown``.
     """
 
     verdict: Verdict
@@ -118,9 +119,10 @@
 
 
 class Route(Struct, frozen=True, kw_only=True):
-    """Which jobs go to which service, and how urgent they are.
+    """Maps jobs to a service, and defines how urgent they are.
 
-    :param ticketed: a start is obeyed only with a ticket that another service gives.
+    :param ticketed: whether the worker accepts a start only with a ticket that another service
+        issues.
     """
 
     name: str
@@ -135,9 +137,9 @@
 
 
 class Configuration(Struct, frozen=True, kw_only=True):
-    """The operators' document in force.
+    """The operators' configuration document in force.
 
-    :param guarded: by service, whether its workers refuse what exceeds their capacity.
+    :param guarded: by service, whether its workers refuse tasks beyond their capacity.
     """
 
     version: int
@@ -146,26 +148,26 @@
     max_body_bytes: int = 1 << 20
 
     def has_service(self, service: str) -> bool:
-        """Return whether there is such a service."""
+        """Return whether the configuration names a service."""
         return service in self.guarded or any(route.service == service for route in self.routes)
 
     def find_route(self, *, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix of the path, or None."""
+        """Return the route of the host with the longest matching path prefix, or None."""
         matching = [r for r in self.routes if r.host == host and path.startswith(r.prefix)]
         return max(matching, key=lambda route: len(route.prefix), default=None)
 
 
 class Evacuation(Struct, frozen=True, kw_only=True):
-    """An operator's request that the workers of a failure domain get nothing more."""
+    """An operator's request to start no more tasks on the workers of a failure domain."""
 
     domain: str
 
 
 class Evacuations(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """All evacuations in force at a moment.
+    """All evacuations in force as of one offset of the store's log.
 
-    :param place: place in the store's log up to which they are known; of two accounts the one with
-        the higher place holds. -1 while nothing is known.
+    :param place: offset in the store's log up to which they are known; a state with a higher offset
+        replaces one with a lower. -1 while nothing is known.
     :param domains: the evacuated failure domains, sorted.
     """
 
@@ -174,9 +176,9 @@
 
 
 class WorkerInfo(Struct, frozen=True, kw_only=True):
-    """A worker as the platform's list shows it.
+    """A worker as listed by the platform.
 
-    :param id: names one life of the worker's process.
+    :param id: identifies one incarnation of the worker process.
     :param cpu: thousandths of a core.
     """
 
@@ -192,12 +194,12 @@
 
 
 class EntryInfo(Struct, frozen=True, kw_only=True):
-    """One life of an entry.
+    """One incarnation of an entry.
 
-    :param incarnation: differs between lives of the same VM.
-    :param registered: place of its registration in the store's log, -1 while it is not known. A
-        later life has a higher one, whatever the time of day on its VM has done.
-    :param cores: processor that it may use.
+    :param incarnation: unique among the incarnations on the same VM.
+    :param registered: offset of its registration in the store's log, -1 while it is not known. A
+        newer incarnation has a higher one, also if the clock of its VM has been set back.
+    :param cores: number of processor cores that it may use.
     """
 
     name: str
@@ -208,24 +210,25 @@
     cores: float = 1.0
 
     def owner_preference_key(self) -> tuple[float, float, str]:
-        """Return the sort key among entries that may own the pool; the first is the best.
+        """Return the sort key of candidates for ownership; the smallest is preferred.
 
-        An owner of 176 workers uses a whole core, so strong VMs come first. Among equals the one
-        that started last does: when all VMs are restarted in turn, it stays longest.
+        An owner of 176 workers uses a whole core, so entries with more cores come first. Among
+        equals, the entry that started last comes first: in a rolling restart of all VMs, it is the
+        last to stop.
         """
         return (-self.cores, -self.registered, self.name)
 
     def is_newer_incarnation(self, other: EntryInfo) -> bool:
-        """Return whether this is surely a later life of the same VM than another."""
+        """Return whether this incarnation is known to be newer than another of the same VM."""
         known = self.registered >= 0 and other.registered >= 0
         return known and self.registered > other.registered
 
 
 class OwnerClaim(Struct, frozen=True, kw_only=True):
-    """Record in the store by which an entry becomes owner of the pool.
+    """Record in the store by which an entry becomes the owner of a cell.
 
-    :param members: entries known to the claimant; each may stand in for the owner in its failure
-        domain, with the fencing token reserved by its place in this list.
+    :param members: entries that may become the stand-in for their failure domain. Their positions
+        in the list determine the fencing tokens reserved for them.
     """
 
     owner: EntryInfo
--- a/zincwell/dispatch/ports.py
+++ b/zincwell/dispatch/ports.py
@@ -1,4 +1,4 @@
-"""Ports: what the dispatcher asks of the platform and of other entries."""
+"""Ports: interfaces of the dispatcher to the platform and to other entries."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class StoreUnavailableError(ZincwellError):
-    """The store gave no answer, or turned the call away; an append may have taken effect."""
+    """The store did not answer or rejected the call; an append may have taken effect."""
 
 
 class StoreConflictError(ZincwellError):
-    """The store refused an append because its condition does not hold."""
+    """The store rejected an append because its condition does not hold."""
 
 
 class RecordsGoneError(ZincwellError):
-    """The store no longer keeps the records asked for."""
+    """The store has already removed the requested records."""
 
 
 class WorkerCallError(ZincwellError):
-    """A worker gave no answer, so the order may have been carried out or still be."""
+    """A worker did not answer; the call may have taken effect or may still take effect."""
 
 
 class WorkerFencedError(ZincwellError):
@@ -33,17 +33,17 @@
 
 
 class WorkerReplacedError(ZincwellError):
-    """Another life of the worker answered; what ran in the earlier one is gone."""
+    """Another incarnation of the worker answered; the runs of the earlier one are lost."""
 
 
 class PeerCallError(ZincwellError):
-    """Another entry gave no answer."""
+    """Another entry did not answer."""
 
 
 class Topic(enum.Enum):
-    """What is kept in the store.
+    """A topic of the store.
 
-    Operators write their document and evacuations to ``CONFIGURATION``.
+    Operators write the configuration document and evacuations to ``CONFIGURATION``.
     """
 
     CONFIGURATION = enum.auto()
@@ -54,7 +54,7 @@
 
 
 class StoreRecord(Struct, frozen=True, kw_only=True):
-    """The newest value of a key; ``None`` if the key was dropped.
+    """The newest value of a key; ``None`` if the key was deleted.
 
     Values of the topics that entries write are bytes; the others are decoded by the adapter.
     """
@@ -65,9 +65,11 @@
 
 
 class StorePage(Struct, frozen=True, kw_only=True):
-    """Records in order, and the offset that the next one will have.
+    """Records ordered by offset.
 
-    :param complete: whether the topic had no more records when it was read; a long answer is cut.
+    :param end: offset that the next record will have.
+    :param complete: whether the topic had no more records when it was read; long answers are
+        truncated.
     """
 
     records: list[StoreRecord]
@@ -87,24 +89,24 @@
 
     @abc.abstractmethod
     async def changes(self, topic: Topic, *, start: int, wait_s: float) -> StorePage:
-        """Return records from an offset on, waiting for one for a limited time.
+        """Return the records from an offset on, waiting up to ``wait_s`` for the first one.
 
-        :raises RecordsGoneError: if the offset is no longer kept.
+        :raises RecordsGoneError: if the store no longer has the record at the offset.
         """
 
     @abc.abstractmethod
     async def append(self, topic: Topic, *, key: str, value: bytes, at: int | None = None) -> int:
         """Append a record and return its offset.
 
-        :param at: append only if the topic ends at this offset.
-        :raises StoreConflictError: if it does not.
+        :param at: append only if the topic ends at this offset; None for no condition.
+        :raises StoreConflictError: if the topic does not end there.
         """
 
 
 class StartStatus(enum.Enum):
-    """What a worker answers to a start.
+    """A worker's answer to a start order.
 
-    All but ``STARTED`` mean that this order starts nothing.
+    All but ``STARTED`` mean that the order does not start a run.
     """
 
     STARTED = enum.auto()
@@ -116,11 +118,12 @@
 
 
 class StartOrder(Struct, frozen=True, kw_only=True):
-    """Start one run of a task.
+    """Order to start one run of a task.
 
-    :param run: number of the run; a worker refuses one that is not higher than an ended one.
-    :param deadline_ms: time on the worker's clock after which it refuses the order, and until
-        which at least everything on it may run.
+    :param run: number of the run; a worker refuses a number that is not higher than that of an
+        ended run of the task.
+    :param deadline_ms: time on the worker's clock after which it refuses the order, and until which
+        its lease lasts at least.
     """
 
     task: TaskId
@@ -131,14 +134,14 @@
 
 
 class StartReply(Struct, frozen=True, kw_only=True):
-    """Answer to a start, with the worker's clock in ms."""
+    """Answer to a start order, with the worker's clock in ms."""
 
     status: StartStatus
     clock_ms: int | None = None
 
 
 class ActiveRun(Struct, frozen=True, kw_only=True):
-    """A run at work; ``percent`` is how far it is."""
+    """A run in progress; ``percent`` is its progress."""
 
     task: TaskId
     run: int
@@ -156,7 +159,10 @@
 
 
 class EndedRun(Struct, frozen=True, kw_only=True):
-    """A run that has ended; ``number`` rises by one within a life of the worker."""
+    """A run that has ended.
+
+    :param number: sequence number of the end; increases by one within an incarnation of the worker.
+    """
 
     number: int
     task: TaskId
@@ -165,7 +171,7 @@
 
 
 class HoldReply(Struct, frozen=True, kw_only=True):
-    """What a worker runs and what ended since the acknowledged number."""
+    """The active runs of a worker, and those that ended after the acknowledged number."""
 
     clock_ms: int
     running: list[ActiveRun]
@@ -180,7 +186,7 @@
 
     @abc.abstractmethod
     async def start(self, worker: WorkerInfo, order: StartOrder, *, timeout_s: float) -> StartReply:
-        """Order a run."""
+        """Order the start of a run."""
 
     @abc.abstractmethod
     async def stop(
@@ -199,10 +205,11 @@
         wait_s: float,
         timeout_s: float,
     ) -> HoldReply:
-        """Extend the lease of everything on a worker, and learn what runs and what ended.
+        """Extend the lease of all runs on a worker; return the active and the ended runs.
 
-        :param acknowledged: number of the last end that need not be told again.
-        :param wait_s: how long the worker may wait for an end before it answers.
+        :param acknowledged: number of the last end that need not be reported again.
+        :param deadline_ms: new end of the lease on the worker's clock; None to leave it.
+        :param wait_s: how long the worker may wait for a run to end before it answers.
         """
 
 
@@ -218,4 +225,4 @@
 
     @abc.abstractmethod
     async def fetch_configuration(self, address: str, *, timeout_s: float) -> Configuration:
-        """Return the document that another entry has in force."""
+        """Return the configuration document that another entry has in force."""
