--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Clocks of VMs that jump: nothing that decides goes by the time of day."""
+"""Clock changes on VMs: no decision depends on the time of day."""
 
 from __future__ import annotations
 
@@ -21,24 +21,23 @@
 pytestmark = pytest.mark.looptime
 
 
-def make_life(name: str, *, incarnation: str, registered: int = -1) -> EntryInfo:
+def make_incarnation(name: str, *, incarnation: str, registered: int = -1) -> EntryInfo:
     return EntryInfo(
         name=name, address=name, zone="a", incarnation=incarnation, registered=registered
     )
 
 
 async def open_directory() -> EntryDirectory:
-    me = make_life("me", incarnation="me", registered=0)
+    me = make_incarnation("me", incarnation="me", registered=0)
     return EntryDirectory(me=me, client=None, observer=None, clock=itertools.count().__next__)
 
 
 @pytest.mark.parametrize("folder", ["dispatch", "platform"])
 def test_nothing_that_decides_reads_the_time_of_day(folder: str):
-    # Symptom: for 0.45 s after a restart of all VMs no job begins. Sequence: the clock of the
-    # owner's VM is set back by seconds before its process starts again. The others compare the
-    # times at which its two lives began, take the new one for the earlier, and wait for the old
-    # one as for an owner that is just silent.
-    # Cause: lives of an entry were ordered by the time of day.
+    # Failure: for 0.45 s after a restart of all VMs, no job starts. The clock of the owner's VM is
+    # set back by seconds before its process restarts. If incarnations are ordered by start time,
+    # the other entries take the new incarnation for the older one, and wait for the previous one as
+    # for an owner that is only silent.
     found = [
         f"{path.name}: {line.strip()}"
         for path in sorted((PACKAGE / folder).rglob("*.py"))
@@ -48,10 +47,10 @@
     assert_that(found, Equals([]))
 
 
-async def test_lives_are_ordered_by_their_registrations():
+async def test_incarnations_are_ordered_by_their_registrations():
     directory = await open_directory()
-    later = make_life("e", incarnation="2", registered=9)
-    earlier = make_life("e", incarnation="1", registered=5)
+    later = make_incarnation("e", incarnation="2", registered=9)
+    earlier = make_incarnation("e", incarnation="1", registered=5)
     directory.note(later)
     directory.note(earlier)
     assert_that(directory.entries_by_name["e"], Equals(later))
@@ -59,29 +58,30 @@
     assert_that(directory.is_superseded(later), Equals(False))
 
 
-async def test_a_life_that_is_not_registered_yet_takes_the_place_of_a_known_one():
+async def test_an_unregistered_incarnation_replaces_a_known_one():
     directory = await open_directory()
-    earlier = make_life("e", incarnation="1", registered=5)
-    later = make_life("e", incarnation="2")
+    earlier = make_incarnation("e", incarnation="1", registered=5)
+    later = make_incarnation("e", incarnation="2")
     directory.note(earlier)
     directory.note(later)
-    directory.note(make_life("e", incarnation="1"))
+    directory.note(make_incarnation("e", incarnation="1"))
     assert_that(directory.entries_by_name["e"], Equals(later))
     assert_that(directory.is_superseded(earlier), Equals(True))
 
 
-async def test_an_entry_that_is_only_named_takes_no_place():
-    # An owner in an old claim may be gone; its VM's later life is known and not registered yet.
+async def test_an_entry_that_is_only_named_replaces_no_known_one():
+    # The owner named in an old claim may have stopped, while a newer incarnation on its VM is known
+    # but not registered yet.
     directory = await open_directory()
-    later = make_life("e", incarnation="2")
+    later = make_incarnation("e", incarnation="2")
     directory.note(later)
-    directory.note(make_life("e", incarnation="1", registered=5), named=True)
+    directory.note(make_incarnation("e", incarnation="1", registered=5), named=True)
     assert_that(directory.entries_by_name["e"], Equals(later))
 
 
-async def test_a_late_message_of_an_earlier_life_changes_nothing(world: World):
-    # Symptom it guards against: answers go to a process that is gone. Sequence: an envelope of an
-    # entry's earlier life is held up on the way and comes after its later life was heard.
+async def test_a_late_message_of_an_earlier_incarnation_changes_nothing(world: World):
+    # Failure: answers go to a process that no longer exists. An envelope from the previous
+    # incarnation of an entry is delayed, and arrives after the first message of the new one.
     await world.open()
     owner = world.owners()[0]
     entry = next(name for name in world.nodes if name != owner)
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Claims to the pool that meet others on their way."""
+"""Concurrent claims to the pool."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 OTHER = EntryInfo(name="other", address="other", zone="a", incarnation="other-0")
 
 
-class QuietObserver(ElectionObserver):
-    """Knows both entries and notes which owners it was told of."""
+class RecordingObserver(ElectionObserver):
+    """Knows both entries, and records the owners and the preparations reported to it."""
 
     def __init__(self) -> None:
         self.owners: list[str] = []
@@ -55,10 +55,10 @@
         return []
 
 
-class StoreWithAClaim(Store):
+class StoreWithClaim(Store):
     """A store in which the other entry has claimed the pool.
 
-    :param feed: called with the claim while its record is being read.
+    :ivar feed: called with the claim while its record is being read.
     """
 
     def __init__(self) -> None:
@@ -83,24 +83,24 @@
 
 @pytest.mark.parametrize("feed_is_quicker", [True, False])
 async def test_a_claim_that_comes_while_claiming_is_followed(feed_is_quicker: bool):
-    # Symptom: after all entries were lost, two of them become owner 10 ms apart, and the jobs
-    # handed to the first one are refused. Sequence: an entry decides to claim and reads the store
-    # once more; the feed brings another entry's claim while it does; it claims all the same.
-    # Cause: what it knew of claims is looked up after the read, so the new one seems old.
-    store, observer = StoreWithAClaim(), QuietObserver()
+    # Failure: after the loss of all entries, two of them become owner 10 ms apart, and the jobs
+    # submitted to the first are refused. An entry decides to claim and reads the store; during the
+    # read, the feed delivers another entry's claim. If the newest known claim is looked up only
+    # after the read, the other claim seems to be old, and the entry claims as well.
+    store, observer = StoreWithClaim(), RecordingObserver()
     election = Election(me=ME, store=store, observer=observer)
     if feed_is_quicker:
         store.feed = election.note_claim
-    await election._claim_pool()
+    await election._claim_cell()
     election.close()
     assert_that(store.appended, Equals([]))
     assert_that(observer.owners, Equals(["other"]))
 
 
 async def test_an_entry_that_finds_another_claim_prepares_nothing():
-    # Guards against a reading of the whole list of workers by each entry after a restart of all.
-    observer = QuietObserver()
-    election = Election(me=ME, store=StoreWithAClaim(), observer=observer)
-    await election._claim_pool()
+    # Failure: after a restart of all entries, each of them reads the whole worker list.
+    observer = RecordingObserver()
+    election = Election(me=ME, store=StoreWithClaim(), observer=observer)
+    await election._claim_cell()
     election.close()
     assert_that(observer.preparations, Equals(0))
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuated failure domains: their workers get nothing new, wherever the order comes from."""
+"""Evacuated failure domains: no entry starts new tasks on their workers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,14 @@
 
 pytestmark = pytest.mark.looptime
 
-# Half a second after the operator's record nothing may start there any more.
+# No task may start in the domain later than this after the operator's record.
 IN_FORCE_S = 0.5
 
 
-async def offer(world: World, seconds: float, *, every_s: float = 0.02, **fields) -> list:
-    """Hand short jobs in at all entries in turn for a while."""
+async def submit_repeatedly(
+    world: World, seconds: float, *, every_s: float = 0.02, **fields
+) -> list:
+    """Submit short jobs to all entries in turn for a number of seconds; return the jobs."""
     jobs, began_at = [], world.loop.time()
     while world.loop.time() - began_at < seconds:
         entries = sorted(world.nodes)
@@ -35,18 +37,18 @@
 
 
 async def test_an_evacuated_domain_gets_nothing_new(world: World):
-    # Symptom: tasks start in a domain seconds after an operator evacuated it. Sequence: evacuation,
-    # then jobs at all entries. Cause: nothing knew of evacuations.
+    # Failure: tasks start in a domain seconds after an operator has evacuated it, because the
+    # entries do not know about the evacuation.
     await world.open()
     world.evacuate("b")
     at = world.loop.time()
-    jobs = await offer(world, 2.0)
+    jobs = await submit_repeatedly(world, 2.0)
     await finish(jobs)
     assert_that(world.starts_in("b", since=at + IN_FORCE_S), Equals([]))
     assert_that(verdicts(jobs), Equals({Verdict.SUCCEEDED}))
 
 
-async def test_what_runs_when_a_domain_is_evacuated_ends_by_itself(world: World):
+async def test_active_runs_complete_after_an_evacuation(world: World):
     await world.open()
     jobs = [submit(world, name, f"job-{name}", run_ms=1500) for name in world.nodes]
     await asyncio.sleep(0.1)
@@ -57,7 +59,7 @@
     assert_that(sum(world.done.values()), Equals(len(world.starts)))
 
 
-async def test_a_domain_that_was_taken_back_serves_again(world: World):
+async def test_a_domain_is_used_again_after_its_evacuation_is_revoked(world: World):
     await world.open()
     world.evacuate("b")
     await asyncio.sleep(1)
@@ -76,7 +78,7 @@
     await asyncio.sleep(0.3)
     world.evacuate("b")
     at = world.loop.time()
-    await finish(await offer(world, 1.0))
+    await finish(await submit_repeatedly(world, 1.0))
     assert_that(world.starts_in("b", since=at + IN_FORCE_S), Equals([]))
 
 
@@ -84,7 +86,7 @@
     await world.open()
     world.evacuate("a", "b", "nowhere")
     at = world.loop.time()
-    jobs = await offer(world, 1.0, every_s=0.1)
+    jobs = await submit_repeatedly(world, 1.0, every_s=0.1)
     await finish(jobs)
     assert_that(world.starts_in("a", since=at + IN_FORCE_S), Equals([]))
     assert_that(world.starts_in("b", since=at + IN_FORCE_S), Equals([]))
@@ -92,8 +94,8 @@
 
 
 async def test_with_all_domains_evacuated_jobs_are_refused_at_once(world: World):
-    # Symptom it guards against: callers wait for their whole objective for workers that nobody may
-    # use, and learn nothing.
+    # Failure: callers wait until their objective has passed, although no worker may be used, and
+    # get no reason.
     await world.open()
     world.evacuate("a", "b", "c")
     await asyncio.sleep(IN_FORCE_S)
@@ -107,8 +109,8 @@
 
 
 async def test_a_begun_job_without_workers_left_is_answered_at_once(world: World):
-    # Symptom it guards against: the last tasks of a job wait in an evacuated pool until its caller
-    # gives up. Sequence: more tasks than fit; all domains are evacuated while the first ones run.
+    # Failure: the last tasks of a job wait in an evacuated pool until the caller gives up. The job
+    # has more tasks than fit, and all domains are evacuated while the first ones run.
     await world.open()
     job = submit(world, "e-a1", "wide", count=20, run_ms=400)
     await asyncio.sleep(0.1)
@@ -120,13 +122,13 @@
 
 
 async def test_an_evacuation_outlives_the_owner(world: World):
-    # Symptom it guards against: a new owner begins with all workers of the list. Sequence: the
-    # owner is killed in the moment of the evacuation.
+    # Failure: the owner is killed at the time of the evacuation, and the new owner starts tasks on
+    # all listed workers.
     await world.open()
     world.evacuate("b")
     world.kill_node(world.owners()[0])
     at = world.loop.time()
-    await finish(await offer(world, 2.5))
+    await finish(await submit_repeatedly(world, 2.5))
     assert_that(world.starts_in("b", since=at + IN_FORCE_S), Equals([]))
 
 
@@ -141,15 +143,15 @@
     at = world.loop.time()
     for name, zone in names:
         world.add_node(name, zone)
-    jobs = await offer(world, 2.5)
+    jobs = await submit_repeatedly(world, 2.5)
     await finish(jobs)
     assert_that(world.starts_in("b", since=at), Equals([]))
     assert_that(jobs[-1].result().verdict, Equals(Verdict.SUCCEEDED))
 
 
 async def test_an_entry_that_starts_without_the_store_learns_evacuations(world: World):
-    # Symptom it guards against: an owner that the store turns away uses an evacuated domain.
-    # Sequence: an entry starts while the store turns it away; others tell it what is in force.
+    # Failure: an owner without access to the store uses an evacuated domain. An entry that starts
+    # while it can't reach the store must learn the evacuations from other entries.
     await world.open()
     world.evacuate("b")
     await asyncio.sleep(0.2)
@@ -166,8 +168,8 @@
 
 
 async def test_an_evacuated_cell_hands_its_callers_jobs_to_others(world: World):
-    # Symptom it guards against: callers in an evacuated domain are refused while the workers of
-    # other cells stand empty. Its entries go on serving them.
+    # Failure: callers in an evacuated domain are refused while workers of other cells are idle. The
+    # entries of the domain must go on serving them.
     await world.open_cells()
     world.evacuate("b")
     at = world.loop.time()
@@ -181,9 +183,9 @@
 
 
 async def test_an_evacuated_cell_hands_its_callers_jobs_to_busy_ones(world: World):
-    # Symptom: callers in an evacuated domain are refused in the moments in which no other cell can
-    # begin a job at once. Sequence: short queues in all other cells. Cause: a job leaves home only
-    # for a place where it need not wait, also when it can't stay at home.
+    # Failure: callers in an evacuated domain are refused whenever all other cells have a short
+    # queue. A job leaves its home cell only for a cell that can start it at once; this must not
+    # apply if the home cell can't run it.
     await world.open_cells()
     world.evacuate("b")
     await asyncio.sleep(IN_FORCE_S)
@@ -203,25 +205,25 @@
     assert_that(verdicts(jobs + long_jobs), Equals({Verdict.SUCCEEDED}))
 
 
-def keep(calls: list) -> EvacuationTracker:
+def make_tracker(calls: list) -> EvacuationTracker:
     return EvacuationTracker(on_change=lambda: calls.append(1), metrics=Metrics())
 
 
-def test_an_older_account_changes_nothing():
+def test_an_older_state_changes_nothing():
     calls: list = []
-    keeper = keep(calls)
-    keeper.update_from_store(["b"], offset=7)
-    keeper.update_from_peer(Evacuations(place=5, domains=[]), entry="e")
-    keeper.update_from_store([], offset=6)
-    assert_that((keeper.domains, calls), Equals((["b"], [1])))
-
-
-def test_nothing_is_told_where_nobody_has_heard_of_an_evacuation():
-    keeper = keep([])
-    keeper.update_from_store([], offset=7)
-    assert_that(keeper.state_to_share(), Is(None))
-    keeper.update_from_peer(Evacuations(place=5, domains=["b"]), entry="e")
-    assert_that(keeper.state_to_share(), Equals(Evacuations(place=7, domains=[])))
+    tracker = make_tracker(calls)
+    tracker.update_from_store(["b"], offset=7)
+    tracker.update_from_peer(Evacuations(place=5, domains=[]), entry="e")
+    tracker.update_from_store([], offset=6)
+    assert_that((tracker.domains, calls), Equals((["b"], [1])))
+
+
+def test_no_state_is_shared_before_the_first_evacuation():
+    tracker = make_tracker([])
+    tracker.update_from_store([], offset=7)
+    assert_that(tracker.state_to_share(), Is(None))
+    tracker.update_from_peer(Evacuations(place=5, domains=["b"]), entry="e")
+    assert_that(tracker.state_to_share(), Equals(Evacuations(place=7, domains=[])))
 
 
 @pytest.mark.parametrize("value", [b"{}", b'{"zone":"x"}', b"\xff\x00no", b"7"])
--- a/zincwell/dispatch/_cell_directory.py
+++ b/zincwell/dispatch/_cell_directory.py
@@ -1,4 +1,4 @@
-"""What an entry knows of all cells: layout, owners, and how each stands."""
+"""What an entry knows about all cells: the layout, the owners, and their load."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from zincwell.dispatch._cells import UNDIVIDED, Cell, Layout
+from zincwell.dispatch._cells import SINGLE_CELL_LAYOUT, Cell, Layout
 from zincwell.dispatch._messages import CellReport
 from zincwell.dispatch._types import EntryInfo, JobRequest
 from zincwell.dispatch.decisions import (
@@ -20,16 +20,16 @@
 
 log = logging.getLogger("zincwell.cells")
 
-# Reports older than this are not passed on, in seconds.
-PASS_ON_S = 1.0
+# Reports older than this are not forwarded to other entries.
+MAX_FORWARD_AGE_S = 1.0
 
 
 @dataclass(slots=True, kw_only=True)
 class CellView:
-    """What is known of one cell.
+    """What is known about one cell.
 
-    :param claimed_at: when its newest claim was seen.
-    :param made_at: when its newest report was made.
+    :param claimed_at: when its newest claim was received.
+    :param made_at: when its newest report was created.
     """
 
     owner: EntryInfo | None = None
@@ -40,18 +40,18 @@
 
 
 class CellDirectory:
-    """Keeps the layout and the newest word of each cell, and says where a job should go."""
+    """Stores the layout and the newest report of each cell, and chooses the cell for a job."""
 
     def __init__(self, *, me: EntryInfo) -> None:
-        self.layout = UNDIVIDED
+        self.layout = SINGLE_CELL_LAYOUT
         self.layout_offset = -1
-        self.home = UNDIVIDED.cells[0]
+        self.home = SINGLE_CELL_LAYOUT.cells[0]
         self._me = me
         self._views_by_cell: dict[str, CellView] = {}
         self._loop = asyncio.get_running_loop()
 
     def set_layout(self, offset: int, layout: Layout) -> None:
-        """Follow a newer layout."""
+        """Switch to a newer layout."""
         self.layout, self.layout_offset = layout, offset
         self.home = layout.cell_of(self._me.zone, self._me.name)
         names = {cell.name for cell in layout.cells}
@@ -61,15 +61,15 @@
         log.info("layout_followed offset=%d cells=%d home=%s", offset, len(names), self.home.name)
 
     def covers(self, domain: str, name: str) -> bool:
-        """Return whether a worker or entry belongs to the own cell."""
+        """Return whether a worker or entry belongs to the home cell."""
         return self.layout.cell_of(domain, name) is self.home
 
     def other_cells(self) -> list[Cell]:
-        """Return all cells but the own one."""
+        """Return all cells but the home cell."""
         return [cell for cell in self.layout.cells if cell is not self.home]
 
     def note_owner(self, cell: str, owner: EntryInfo, fence: int) -> bool:
-        """Take note of the owner of a cell; return whether it is a new one."""
+        """Record the owner of a cell; return whether it is a new one."""
         view = self._views_by_cell.setdefault(cell, CellView())
         if fence <= view.fence:
             return False
@@ -78,9 +78,9 @@
         return True
 
     def note_report(self, report: CellReport, *, delay_s: float = 0.0) -> None:
-        """Take note of what an owner says of its cell, at first hand or passed on.
+        """Record an owner's report on its cell, received directly or forwarded.
 
-        :param delay_s: how long the message was under way.
+        :param delay_s: how long the message took to arrive.
         """
         view = self._views_by_cell.get(report.cell)
         made_at = self._loop.time() - report.age_s - delay_s
@@ -99,14 +99,14 @@
         return view.fence if view is not None else 0
 
     def silence_s(self, cell: str) -> float:
-        """Return for how long nothing was heard of a cell's owner."""
+        """Return the time since a cell's last report or claim, in seconds."""
         view = self._views_by_cell.get(cell)
         if view is None:
             return math.inf
         return self._loop.time() - max(view.made_at, view.claimed_at)
 
     def fresh_reports(self) -> list[CellReport]:
-        """Return the reports of other cells that are young enough to be passed on."""
+        """Return the reports of other cells that are recent enough to be forwarded."""
         now = self._loop.time()
         return [
             CellReport(
@@ -118,11 +118,11 @@
                 pending=view.report.pending,
             )
             for name, view in self._views_by_cell.items()
-            if name != self.home.name and view.report and now - view.made_at < PASS_ON_S
+            if name != self.home.name and view.report and now - view.made_at < MAX_FORWARD_AGE_S
         ]
 
     def pending_by_route(self) -> dict[str, int]:
-        """Return by route how many jobs of all cells have no task started."""
+        """Return the number of jobs without a started task in all cells, by route."""
         counts: dict[str, int] = {}
         for view in self._views_by_cell.values():
             for route, count in (view.report.pending if view.report else {}).items():
@@ -132,10 +132,10 @@
     def choose(
         self, request: JobRequest, *, home_silence_s: float, refused_by: Iterable[str]
     ) -> str | None:
-        """Return the cell that a job should go to, None if all that would take it refused it.
+        """Return the cell to submit a job to, or None if every suitable cell has refused it.
 
-        :param home_silence_s: for how long the own cell's owner was not heard.
-        :param refused_by: cells that have refused it.
+        :param home_silence_s: time without contact to the owner of the home cell.
+        :param refused_by: names of the cells that have refused the job.
         """
         refused = set(refused_by)
         home = self.home.name
--- a/zincwell/dispatch/_cell_reporter.py
+++ b/zincwell/dispatch/_cell_reporter.py
@@ -1,4 +1,4 @@
-"""What owners tell each other of their cells."""
+"""Load reports that owners exchange about their cells."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 from zincwell.dispatch._owner import Owner
 from zincwell.dispatch._types import EntryInfo
 
-# An owner tells this many others, so that what it sends does not grow with the number of cells.
-REPORTED_CELLS = 8
+# Number of other owners that a report is sent to. It is limited so that the traffic of an owner
+# does not grow with the number of cells.
+REPORT_FANOUT = 8
 
 
 class CellReporter:
-    """Reports how the own cell stands to those whose jobs may come to it."""
+    """Reports the load of the home cell to entries that may submit jobs to it."""
 
     def __init__(self, *, cell_directory: CellDirectory, directory: EntryDirectory) -> None:
         self._cell_directory = cell_directory
         self._directory = directory
 
     def report(self, owner: Owner, me: EntryInfo) -> list[CellReport]:
-        """Tell other cells how this one stands; return what the own entries are to know.
+        """Send the home cell's report to other cells; return the reports for its own entries.
 
-        A cell alone has nobody to send its jobs to, so nothing is said of it.
+        If there is only one cell, its jobs have no other cell to go to and nothing is reported.
 
         :param me: the entry that is the owner.
         """
@@ -38,21 +39,24 @@
         )
         self._cell_directory.note_owner(report.cell, me, report.fence)
         self._cell_directory.note_report(report)
-        for entry in self._neighbours() + self._guests(owner):
+        for entry in self._next_owners() + self._remote_submitters(owner):
             link = self._directory.link(entry)
             if link.is_idle():
                 link.send(report)
         return [report, *self._cell_directory.fresh_reports()]
 
-    def _neighbours(self) -> list[EntryInfo]:
-        """Return the owners of the cells that follow this one in the layout."""
+    def _next_owners(self) -> list[EntryInfo]:
+        """Return the owners of the cells that come next in the layout."""
         cells = self._cell_directory.layout.cells
-        place = cells.index(self._cell_directory.home)
-        following = (cells[place + 1 :] + cells[:place])[:REPORTED_CELLS]
+        position = cells.index(self._cell_directory.home)
+        following = (cells[position + 1 :] + cells[:position])[:REPORT_FANOUT]
         owners = [self._cell_directory.owner_of(cell.name) for cell in following]
-        return [neighbour for neighbour in owners if neighbour is not None]
+        return [owner for owner in owners if owner is not None]
 
-    def _guests(self, owner: Owner) -> list[EntryInfo]:
-        """Return the entries of other cells whose jobs are here; they must hear this owner."""
+    def _remote_submitters(self, owner: Owner) -> list[EntryInfo]:
+        """Return the entries of other cells with jobs in this one.
+
+        They need its reports to know that its owner is alive.
+        """
         entries = [self._directory.entries_by_name.get(name) for name in owner.waiting_entries()]
         return [e for e in entries if e and not self._cell_directory.covers(e.zone, e.name)]
--- a/zincwell/dispatch/_cells.py
+++ b/zincwell/dispatch/_cells.py
@@ -1,8 +1,8 @@
-"""Cells: workers and entries that have one owner.
+"""Cells: groups of workers and entries that share one owner.
 
-A cell has its own owner, queue and fencing tokens, and its take-overs touch no other cell. The
-layout says which cells there are. It is a record in the store like the claims, in the same log, so
-a claim that was prepared under one layout can't come through under the next.
+Each cell has its own owner, queue and fencing tokens, and a take-over affects no other cell. The
+layout lists the cells. It is stored in the same log as the claims, so that a claim prepared under
+one layout fails its conditional append under the next.
 """
 
 from __future__ import annotations
@@ -21,16 +21,17 @@
 
 
 class Cell(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Workers of some failure domains, or of a part of one, and the entries there.
-
-    :param name: differs from the names of all cells of earlier layouts; empty for the cell of a
-        pool that was never divided.
-    :param domains: its failure domains; empty for all.
-    :param part: number of the part, if the domain is split into parts. Workers belong to parts by
-        a hash of their ids.
-    :param entries: names of the entries of a part. By a hash all strong ones could come to the same
-        part, and another would have an owner that can't carry it; one that is not named anywhere
-        goes by its hash.
+    """The workers and entries of one or more failure domains, or of a part of one domain.
+
+    :param name: unique among the cells of all layouts; empty for the single cell of a pool that was
+        never divided.
+    :param domains: failure domains of the cell; empty for all.
+    :param part: index of the part, if the domain is split into parts. Workers are assigned to parts
+        by a hash of their ids.
+    :param parts: number of parts of the domain.
+    :param entries: names of the entries of a part. They are listed because a hash could assign all
+        entries with many cores to one part, and leave another with an owner too slow for it. An
+        entry that no cell lists is assigned by the hash of its name.
     """
 
     name: str = ""
@@ -40,11 +41,11 @@
     entries: list[str] = []
 
     def claim_key(self) -> str:
-        """Return the key of the claims of this cell in the store."""
+        """Return the store key of this cell's claims."""
         return f"{OWNER_KEY}/{self.name}" if self.name else OWNER_KEY
 
     def covers(self, domain: str, name: str) -> bool:
-        """Return whether a worker or entry of a failure domain belongs here."""
+        """Return whether a worker or entry of a failure domain belongs to this cell."""
         if self.domains and domain not in self.domains:
             return False
         return self.parts == 1 or zlib.crc32(name.encode()) % self.parts == self.part
@@ -56,14 +57,14 @@
     cells: list[Cell]
 
     def cell_of(self, domain: str, name: str) -> Cell:
-        """Return the cell of a worker or entry; the first for a domain that has none yet."""
-        named = next((cell for cell in self.cells if name in cell.entries), None)
-        if named is not None:
-            return named
+        """Return the cell of a worker or entry; the first cell if its domain has none yet."""
+        listing_cell = next((cell for cell in self.cells if name in cell.entries), None)
+        if listing_cell is not None:
+            return listing_cell
         return next((cell for cell in self.cells if cell.covers(domain, name)), self.cells[0])
 
     def shapes(self) -> list[CellShape]:
-        """Return the shapes of the cells; parts of one domain count as one shape."""
+        """Return the shapes of the cells; the parts of one domain share a shape."""
         return [
             CellShape(domains=tuple(cell.domains), parts=cell.parts)
             for cell in self.cells
@@ -71,39 +72,40 @@
         ]
 
 
-WHOLE_POOL = Cell()
-UNDIVIDED = Layout(cells=[WHOLE_POOL])
+WHOLE_POOL_CELL = Cell()
+SINGLE_CELL_LAYOUT = Layout(cells=[WHOLE_POOL_CELL])
 
 
 def make_layout(
-    shapes: list[CellShape], *, mark: str, before: Layout, entries: Iterable[EntryInfo]
+    shapes: list[CellShape], *, suffix: str, previous: Layout, entries: Iterable[EntryInfo]
 ) -> Layout:
-    """Return a layout of these shapes; cells that stay as they are keep their names.
+    """Return a layout with the given shapes; unchanged cells keep their names.
 
-    :param mark: differs from the marks of all other layouts.
-    :param entries: all entries, to be shared out to the parts of a domain by strength.
+    :param suffix: suffix of the names of new cells, unique to this layout.
+    :param previous: layout to be replaced.
+    :param entries: all entries. The parts of a domain get its entries in turn, ordered by cores.
     """
-    by_place = {(tuple(c.domains), c.part, c.parts): c for c in before.cells}
+    cells_by_key = {(tuple(c.domains), c.part, c.parts): c for c in previous.cells}
     ranked = sorted(entries, key=lambda entry: (-entry.cores, entry.name))
     cells = []
     for shape in shapes:
         for part in range(shape.parts):
-            place = (shape.domains, part, shape.parts)
-            name = f"{'+'.join(shape.domains)}.{part}.{mark}"
-            inside = [entry.name for entry in ranked if entry.zone in shape.domains]
-            made = Cell(
+            cell_key = (shape.domains, part, shape.parts)
+            name = f"{'+'.join(shape.domains)}.{part}.{suffix}"
+            entry_names = [entry.name for entry in ranked if entry.zone in shape.domains]
+            new_cell = Cell(
                 name=name,
                 domains=list(shape.domains),
                 part=part,
                 parts=shape.parts,
-                entries=inside[part :: shape.parts] if shape.parts > 1 else [],
+                entries=entry_names[part :: shape.parts] if shape.parts > 1 else [],
             )
-            cells.append(by_place.get(place, made))
+            cells.append(cells_by_key.get(cell_key, new_cell))
     return Layout(cells=cells)
 
 
 def decode_layout(value: bytes) -> Layout | None:
-    """Return a layout as it stands in the store, None if it can't be read."""
+    """Decode a layout; return None if it is invalid or has no cells."""
     try:
         layout = msgspec.json.decode(value, type=Layout)
     except (msgspec.MsgspecError, UnicodeDecodeError):
--- a/zincwell/dispatch/_election.py
+++ b/zincwell/dispatch/_election.py
@@ -1,8 +1,12 @@
-"""Who owns a cell: claims in the store, silence, and stand-ins behind a partition.
+"""Owner election of a cell: claims in the store, failure detection, and stand-ins.
 
-An entry becomes owner by a record in the store, appended under the condition that nobody else
-appended meanwhile. The record's offset makes the fencing token, so tokens are unique and rise.
-Workers refuse lower tokens: they are the lock, the record only orders the claimants.
+An entry becomes the owner by appending a claim to the store, on condition that no other record was
+appended since its last read. The fencing token is derived from the offset of the claim, so tokens
+are unique and increasing. Workers reject lower tokens: they enforce mutual exclusion, the claims
+only order the candidates.
+
+A stand-in is a temporary owner of the workers of one failure domain. An entry becomes a stand-in if
+a partition separates it from both the owner and the store.
 """
 
 from __future__ import annotations
@@ -16,7 +20,7 @@
 import msgspec
 
 from zincwell.dispatch._background import BackgroundTasks
-from zincwell.dispatch._cells import LAYOUT_KEY, WHOLE_POOL, Cell
+from zincwell.dispatch._cells import LAYOUT_KEY, WHOLE_POOL_CELL, Cell
 from zincwell.dispatch._messages import OwnerHeartbeat, Receipt
 from zincwell.dispatch._types import EntryInfo, OwnerClaim
 from zincwell.dispatch.ports import (
@@ -29,102 +33,113 @@
 
 log = logging.getLogger("zincwell.election")
 
-# Tokens between two claims are reserved for stand-ins, one for each member of the older claim.
-FENCES_PER_CLAIM = 4096
-TICK_S = 0.03
-# Entries ask each other whether they hear the owner after this much silence, and one of them
-# claims after the second one. Heartbeats come every 0.1 s; leases last 1 s, of which 0.25 s may
-# have passed at the last heartbeat, so 0.45 s leaves time to claim, hold and adopt what runs.
+# The tokens between two claims are reserved for stand-ins: in each round, one for each member of
+# the older claim.
+TOKENS_PER_CLAIM = 4096
+POLL_INTERVAL_S = 0.03
+# After the first of these times without contact to the owner, entries ask each other whether they
+# are still in contact with it; after the second, one of them claims the cell. Heartbeats are sent
+# every 0.1 s. Leases last 1 s, of which 0.25 s may have elapsed at the last heartbeat, so 0.45 s
+# leaves time to claim the cell, renew the leases and adopt the runs.
 SUSPECT_AFTER_S = 0.3
-SILENCE_S = 0.45
-# With too few entries answering, the store is asked after this much silence: early, since a
-# silent connection to it takes 0.6 s to show.
-PROBE_STORE_S = 0.36
-# Candidates claim one after the other, this much apart, so that the first can succeed.
-RANK_DELAY_S = 0.08
-# Beyond this rank all wait the same; the store's condition lets one of them through.
+OWNER_TIMEOUT_S = 0.45
+# If too few entries answer, the store is read after this time without contact. This is earlier than
+# the owner timeout because it takes 0.6 s to detect that a connection to the store is dead.
+STORE_CHECK_AFTER_S = 0.36
+# Delay between the claims of successive candidates, so that the first can succeed.
+DELAY_PER_RANK_S = 0.08
+# Candidates beyond this rank wait equally long; the conditional append admits one of them.
 MAX_RANK = 10
-# A member of the claim stands in for an unreachable owner after this much silence, if the store
-# can't be reached either.
-STAND_IN_S = 0.7
-# So many entries of each failure domain are named in a claim. A domain that loses more of them
-# while it is cut off has no stand-in until it is back.
+# A member of the claim becomes the stand-in after this time without contact to the owner, if the
+# store is unreachable as well.
+STAND_IN_AFTER_S = 0.7
+# Number of entries of each failure domain that a claim lists. A domain that loses all of them while
+# it is cut off has no stand-in until the partition ends.
 MEMBERS_PER_DOMAIN = 6
-# Each member may stand in this often under one claim, with a higher token each time: workers may
-# have seen the token of another member that stood in before and is gone.
-STAND_IN_ROUNDS = 8
-# With fewer than half of the entries answering, a claim waits this long, and for the proof that
-# the owner does not write to the store either.
-MINORITY_SILENCE_S = 2.0
-# The owner shows the store this often that it lives; twice that without a sign means it does not.
+# How often a member may become the stand-in under one claim. Each round uses higher tokens, because
+# workers may have seen the token of an earlier stand-in that has stopped.
+MAX_STAND_IN_ROUNDS = 8
+# Owner timeout while no majority of the entries answers. The claim then also requires that the
+# owner has stopped writing to the store.
+MINORITY_OWNER_TIMEOUT_S = 2.0
+# Interval of the owner's liveness records in the store, and the time without a new record after
+# which the owner is considered dead: two intervals and a margin.
 LIVENESS_INTERVAL_S = 1.0
-LIVENESS_LOST_S = 2.2
-# Receipts older than this say nothing about now.
-FRESH_S = 0.3
-# Time that a new claimant or a new process gets to be heard.
+LIVENESS_TIMEOUT_S = 2.2
+# Acknowledgements older than this are ignored as stale.
+MAX_RECEIPT_AGE_S = 0.3
+# Grace period of a new election, in which the first message of the owner can arrive before the
+# owner timeout starts.
 START_GRACE_S = 0.6
-# Stands for "never" in acknowledgements, in seconds.
-NEVER_HEARD_S = 3600.0
-# Between two tries to claim while the store does not answer.
-CLAIM_PAUSE_S = 0.2
-# Claims of all cells stand in one log. After a restart of all VMs the owners of 28 domains claim at
-# once, and one of them gets through each time.
-CLAIM_TRIES = 32
-# When all cells claim at once, one after the other does so this many seconds apart. Each claim that
-# finds the log moved on reads it again, which for all together is the square of their number.
-CLAIM_TURN_S = 0.006
-
-
-def make_fencing_token(offset: int, place: int = 0) -> int:
-    """Return the fencing token of a claim, or of the member at a place (from 1) of its list."""
-    return (offset + 1) * FENCES_PER_CLAIM + place
+# Largest owner silence reported in acknowledgements, in seconds; also reported if there was never
+# any contact.
+MAX_OWNER_SILENCE_S = 3600.0
+# Delay between attempts to claim, for example while the store does not answer.
+CLAIM_RETRY_DELAY_S = 0.2
+# The claims of all cells share one log. After a restart of all VMs, the owners of 28 domains claim
+# concurrently, and only one conditional append succeeds at a time.
+MAX_CLAIM_ATTEMPTS = 32
+# Delay between the claims of successive cells if all of them claim at the same time. A claim that
+# conflicts with another reads the log again, so without the delay the number of reads grows with
+# the square of the number of cells.
+CLAIM_STAGGER_S = 0.006
+
+
+def make_fencing_token(offset: int, position: int = 0) -> int:
+    """Return the fencing token of a claim, or one of the tokens reserved for its stand-ins.
+
+    :param offset: offset of the claim in the store.
+    :param position: number of the reserved token, from 1; 0 for the claim itself.
+    """
+    return (offset + 1) * TOKENS_PER_CLAIM + position
 
 
 class ElectionObserver(abc.ABC):
-    """What the election asks and tells the node."""
+    """Callbacks of the election to the node."""
 
     @abc.abstractmethod
     def on_layout(self, record: StoreRecord) -> None:
-        """Take note of the newest layout of the cells, which may end this election."""
+        """Process the newest layout of the cells, which may end this election."""
 
     @abc.abstractmethod
     async def create_initial_layout(self) -> bool:
-        """Divide a pool that nobody has owned yet, if it needs several owners; return if so."""
+        """Divide a pool that never had an owner if it needs several; return whether it does."""
 
     @abc.abstractmethod
     def on_claiming(self) -> None:
-        """Prepare for owning the cell: a claim is on its way to the store."""
+        """Prepare for ownership: a claim is about to be appended to the store."""
 
     @abc.abstractmethod
     def on_owner(self, owner: EntryInfo, fence: int, domain: str) -> None:
-        """Follow another entry as owner."""
+        """Follow another entry as the owner."""
 
     @abc.abstractmethod
     def on_owner_contact(self) -> None:
-        """Take note of the first sign of the owner that is followed."""
+        """Handle the first contact with the owner that is followed."""
 
     @abc.abstractmethod
     def on_elected(self, fence: int, domain: str) -> None:
-        """Be the owner, or the stand-in for a failure domain."""
+        """Start to act as the owner, or as the stand-in for a failure domain."""
 
     @abc.abstractmethod
     def known_entries(self) -> list[EntryInfo]:
-        """Return all entries of the cell that are not known to be gone, this one included."""
+        """Return the entries of the cell that are not known to have stopped, including this one."""
 
     @abc.abstractmethod
     def probe(self) -> None:
-        """Ask the other entries whether they hear the owner."""
+        """Ask the other entries whether they are in contact with the owner."""
 
     @abc.abstractmethod
     def fresh_receipts(self, age_s: float) -> list[Receipt]:
-        """Return the acknowledgements of other entries that are younger than an age."""
+        """Return the acknowledgements of other entries that are younger than ``age_s``."""
 
 
 class Election:
-    """Decides when this entry claims its cell, and whom it follows.
+    """Decides when this entry claims its cell, and which owner it follows.
 
-    :param at_once: nobody else has the cell, so there is nobody to wait for.
-    :param turn: place of the cell among those that claim when all do.
+    :param at_once: claim without a grace period, because no other entry owns the cell.
+    :param turn: position of the cell in the layout; staggers the claims if all cells claim at the
+        same time.
     """
 
     def __init__(
@@ -133,7 +148,7 @@
         me: EntryInfo,
         store: Store,
         observer: ElectionObserver,
-        cell: Cell = WHOLE_POOL,
+        cell: Cell = WHOLE_POOL_CELL,
         at_once: bool = False,
         turn: int = 0,
     ) -> None:
@@ -151,53 +166,57 @@
         self._store = store
         self._observer = observer
         self._loop = asyncio.get_running_loop()
-        self._turn_s = turn * CLAIM_TURN_S
-        # Until when silence is patiently borne, and when a sign of the owner really came.
-        patience_s = self._turn_s - SILENCE_S if at_once else START_GRACE_S
-        self._heard_at = self._loop.time() + patience_s
-        self._sign_at = -math.inf
-        self._gone = ""
-        self._other_owner_heard_at = -1e9
+        self._claim_delay_s = turn * CLAIM_STAGGER_S
+        # The owner timeout runs from _silent_since, which may lie in the future. _last_contact_at
+        # is the time of the last message from the owner itself.
+        grace_s = self._claim_delay_s - OWNER_TIMEOUT_S if at_once else START_GRACE_S
+        self._silent_since = self._loop.time() + grace_s
+        self._last_contact_at = -math.inf
+        self._restarted_owner = ""
+        self._other_owner_seen_at = -1e9
         self._claim: OwnerClaim | None = None
         self._claim_offset = -1
         self._store_failed = False
         self._leaving_since = 0.0
         self._stand_in_round = 0
-        self._liveness_end: int | None = None
-        self._liveness_moved_at = self._loop.time()
+        self._liveness_offset: int | None = None
+        self._liveness_changed_at = self._loop.time()
         self._liveness_read_at = 0.0
         self._tasks = BackgroundTasks()
         self._tasks.spawn(self._run())
 
     def close(self) -> None:
-        """Take no further part."""
+        """Stop taking part in the election."""
         self._closed = True
         self._tasks.close()
 
     def silence_s(self) -> float:
-        """Return for how long the owner was not heard; 0 for the owner itself."""
+        """Return the time without contact to the owner, in seconds; 0 for the owner itself."""
         if self.is_owner():
             return 0.0
-        return max(0.0, self._loop.time() - self._heard_at)
+        return max(0.0, self._loop.time() - self._silent_since)
 
     def has_owner_contact(self) -> bool:
-        """Return whether a sign of the owner itself has come, not just a record in the store."""
-        return self.is_owner() or self._sign_at > -math.inf
+        """Return whether the owner itself has sent anything, besides its claim in the store."""
+        return self.is_owner() or self._last_contact_at > -math.inf
 
     def owner_contact_age_s(self) -> float:
-        """Return for how long no sign of the owner has come; at most `NEVER_HEARD_S`."""
+        """Return the age of the last contact with the owner, at most `MAX_OWNER_SILENCE_S`."""
         if self.is_owner():
             return 0.0
-        return min(self._loop.time() - self._sign_at, NEVER_HEARD_S)
+        return min(self._loop.time() - self._last_contact_at, MAX_OWNER_SILENCE_S)
 
     def is_owner(self) -> bool:
         """Return whether this entry is the owner or a stand-in."""
         return self.owner is not None and self.owner.incarnation == self.me.incarnation
 
-    # -- what is heard ----------------------------------------------------------------------
+    # -- incoming information ---------------------------------------------------------------
 
     def note_claim(self, offset: int, claim: OwnerClaim | None) -> None:
-        """Take note of the newest claim in the store; None if it can't be read."""
+        """Process the newest claim in the store.
+
+        :param claim: None if the record is invalid.
+        """
         if claim is None or offset <= self._claim_offset:
             return
         self._claim, self._claim_offset = claim, offset
@@ -207,218 +226,233 @@
             return
         self._stand_in_round = 0
         if claim.owner.incarnation == self.me.incarnation:
-            self._become(fence, "")
+            self._take_ownership(fence, "")
         else:
             self._follow(claim.owner, fence, "")
 
     def note_owner_restarted(self) -> None:
-        """Take note that a later life of the owner's VM is known, so the owner is gone.
+        """Handle that a newer incarnation of the owner is known, so the owner has stopped.
 
-        After a restart of all VMs the newest claim names a process that is no more. Waiting for
-        it as for an owner that is just silent took 0.42 s, in which no job was served.
+        After a restart of all VMs, the newest claim names a process that no longer exists. Waiting
+        for the regular owner timeout would leave all jobs unserved for another 0.42 s.
         """
         owner = self.owner
-        if owner is None or self.is_owner() or self._gone == owner.incarnation:
+        if owner is None or self.is_owner() or self._restarted_owner == owner.incarnation:
             return
         log.info("owner_gone owner=%s incarnation=%s", owner.name, owner.incarnation)
-        self._gone = owner.incarnation
-        self._heard_at = min(self._heard_at, self._loop.time() + self._turn_s - SILENCE_S)
+        self._restarted_owner = owner.incarnation
+        self._silent_since = min(
+            self._silent_since, self._loop.time() + self._claim_delay_s - OWNER_TIMEOUT_S
+        )
 
-    def note_heartbeat(self, beat: OwnerHeartbeat) -> None:
-        """Take note of an owner's heartbeat."""
-        if beat.cell != self.cell.name:
-            # Sent under another layout, which one side has not heard of yet.
+    def note_heartbeat(self, heartbeat: OwnerHeartbeat) -> None:
+        """Process the heartbeat of an owner."""
+        if heartbeat.cell != self.cell.name:
+            # The sender follows another layout; one of the two has not received the newer one yet.
             return
         now = self._loop.time()
-        if beat.domain and beat.domain != self.me.zone:
-            # A stand-in of another failure domain: the owner has to claim anew to get it back.
-            if self.is_owner() and beat.fence > self.fence:
+        if heartbeat.domain and heartbeat.domain != self.me.zone:
+            # The sender is the stand-in for another failure domain. The owner needs a new claim
+            # with a higher token to use the workers there again.
+            if self.is_owner() and heartbeat.fence > self.fence:
                 self.reclaim = True
             return
-        if beat.owner.incarnation == self.me.incarnation:
+        if heartbeat.owner.incarnation == self.me.incarnation:
             return
-        if beat.fence < self.fence:
-            self._other_owner_heard_at = now
+        if heartbeat.fence < self.fence:
+            self._other_owner_seen_at = now
             return
-        if beat.fence > self.fence:
-            self._follow(beat.owner, beat.fence, beat.domain)
-        self._note_sign()
-        self.successors = beat.successors
-        if beat.leaving and not self.owner_leaving:
+        if heartbeat.fence > self.fence:
+            self._follow(heartbeat.owner, heartbeat.fence, heartbeat.domain)
+        self._note_contact()
+        self.successors = heartbeat.successors
+        if heartbeat.leaving and not self.owner_leaving:
             self._leaving_since = now
-            log.info("owner_leaving owner=%s successors=%s", beat.owner.name, beat.successors[:3])
-        self.owner_leaving = beat.leaving
+            log.info(
+                "owner_leaving owner=%s successors=%s",
+                heartbeat.owner.name,
+                heartbeat.successors[:3],
+            )
+        self.owner_leaving = heartbeat.leaving
 
     def note_owner_alive(self, incarnation: str, fence: int) -> None:
-        """Take note of any delivery from an entry.
+        """Process any delivery from an entry, which counts as contact if it comes from the owner.
 
-        A process that was owner and is not any more is no sign of an owner: those who follow it
-        would wait for it as long as it lives.
+        A former owner with an outdated token does not count: its followers would wait for it as
+        long as its process runs.
         """
         if self.owner is None or incarnation != self.owner.incarnation:
             return
         if fence >= self.fence:
-            self._note_sign()
+            self._note_contact()
 
     def note_receipt(self, receipt: Receipt) -> None:
-        """Take note of another entry's acknowledgement."""
+        """Process the acknowledgement of another entry."""
         if self.is_owner() and receipt.fence > self.fence:
             self.reclaim = True
         owner = self.owner
         if owner is None or self.is_owner():
             return
         if receipt.receiver.incarnation == owner.incarnation and receipt.fence == self.fence:
-            self._note_sign()
-
-    def _note_sign(self) -> None:
-        """Take note of a sign of life of the owner."""
-        first = not self.has_owner_contact()
-        self._sign_at = self._loop.time()
-        self._heard_at = max(self._heard_at, self._sign_at)
-        if first:
+            self._note_contact()
+
+    def _note_contact(self) -> None:
+        """Record contact with the owner."""
+        is_first = not self.has_owner_contact()
+        self._last_contact_at = self._loop.time()
+        self._silent_since = max(self._silent_since, self._last_contact_at)
+        if is_first:
             self._observer.on_owner_contact()
 
     def step_down(self) -> None:
-        """Give no more orders; another owner has been seen at a worker."""
+        """Give up ownership because a worker has seen the token of another owner."""
         if self.is_owner():
             log.warning("stepped_down fence=%d domain=%s", self.fence, self.domain)
             self.owner = None
             self._stand_in_round += 1
-            self._heard_at = self._loop.time()
+            self._silent_since = self._loop.time()
 
     def _follow(self, owner: EntryInfo, fence: int, domain: str) -> None:
         log.info("owner_followed owner=%s fence=%d domain=%s", owner.name, fence, domain)
         self.owner, self.fence, self.domain = owner, fence, domain
         self.owner_leaving = False
         self.reclaim = False
-        self._heard_at = self._loop.time()
-        self._sign_at = -math.inf
+        self._silent_since = self._loop.time()
+        self._last_contact_at = -math.inf
         self._observer.on_owner(owner, fence, domain)
 
-    def _become(self, fence: int, domain: str) -> None:
+    def _take_ownership(self, fence: int, domain: str) -> None:
         log.info("owner_elected fence=%d domain=%s", fence, domain)
         self.owner, self.fence, self.domain = self.me, fence, domain
         self.owner_leaving = False
         self.reclaim = False
         self._observer.on_elected(fence, domain)
 
-    # -- what is decided --------------------------------------------------------------------
+    # -- decisions --------------------------------------------------------------------------
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if self.is_owner():
-                await self._tend_ownership()
+                await self._maintain_ownership()
             elif not self.leaving:
                 await self._watch_owner()
 
-    async def _tend_ownership(self) -> None:
-        """Claim anew when a stand-in holds some workers, or when this is one."""
+    async def _maintain_ownership(self) -> None:
+        """Claim again if a stand-in holds some workers, or if this entry is a stand-in."""
         if self.leaving:
             return
         if self.domain:
-            quiet_s = self._loop.time() - self._other_owner_heard_at
-            if quiet_s > LIVENESS_INTERVAL_S:
-                await self._claim_if_unclaimed()
-                await asyncio.sleep(CLAIM_PAUSE_S)
+            other_owner_silence_s = self._loop.time() - self._other_owner_seen_at
+            if other_owner_silence_s > LIVENESS_INTERVAL_S:
+                await self._claim_unless_owner_alive()
+                await asyncio.sleep(CLAIM_RETRY_DELAY_S)
             return
         if self.reclaim:
-            await self._claim_pool()
-            await asyncio.sleep(CLAIM_PAUSE_S)
+            await self._claim_cell()
+            await asyncio.sleep(CLAIM_RETRY_DELAY_S)
 
-    async def _claim_if_unclaimed(self) -> None:
-        """As a stand-in: own everything, unless the store has an owner that is alive."""
-        if await self._owner_writes():
+    async def _claim_unless_owner_alive(self) -> None:
+        """As a stand-in, claim the whole cell unless the store shows that its owner is alive."""
+        if await self._is_owner_writing_to_store():
             return
         if not self._store_failed:
-            await self._claim_pool()
+            await self._claim_cell()
 
     async def _watch_owner(self) -> None:
         silence_s = self.silence_s()
-        if self.owner_leaving and silence_s < SILENCE_S:
-            if self.rank() * 2 * RANK_DELAY_S <= self._loop.time() - self._leaving_since:
-                await self._claim_pool()
+        if self.owner_leaving and silence_s < OWNER_TIMEOUT_S:
+            if self.rank() * 2 * DELAY_PER_RANK_S <= self._loop.time() - self._leaving_since:
+                await self._claim_cell()
             return
         if silence_s < SUSPECT_AFTER_S:
             return
-        if not self._was_never_owned():
+        if not self._has_no_known_owner():
             self._observer.probe()
-        if silence_s > PROBE_STORE_S and not (self._was_never_owned() or self._heard_by_half()):
-            # Probably this entry is the one that is cut off. Whether the store can be reached
-            # decides between standing in and waiting for the owner's signs of life there.
-            await self._owner_writes()
+        if silence_s > STORE_CHECK_AFTER_S and not (
+            self._has_no_known_owner() or self._has_majority()
+        ):
+            # Probably this entry is the one that is cut off. If the store is unreachable, too, it
+            # may become the stand-in; otherwise it waits for the owner's liveness records.
+            await self._is_owner_writing_to_store()
             silence_s = self.silence_s()
-        if silence_s < SILENCE_S + self.rank() * RANK_DELAY_S:
+        if silence_s < OWNER_TIMEOUT_S + self.rank() * DELAY_PER_RANK_S:
             return
-        if silence_s > STAND_IN_S and self._store_failed and self._can_stand_in():
+        if silence_s > STAND_IN_AFTER_S and self._store_failed and self._can_stand_in():
             self._stand_in()
             return
         if not await self._may_claim(silence_s):
             return
-        await self._claim_pool()
+        await self._claim_cell()
         if not self.is_owner() and self._store_failed:
-            await asyncio.sleep(CLAIM_PAUSE_S)
+            await asyncio.sleep(CLAIM_RETRY_DELAY_S)
 
     def rank(self) -> int:
-        """Return this entry's place among those that may take over; 0 is the first."""
+        """Return the position of this entry among the candidates for take-over; 0 is the first."""
         if self.me.name in self.successors:
             return min(self.successors.index(self.me.name), MAX_RANK)
         entries = sorted(self._observer.known_entries(), key=EntryInfo.owner_preference_key)
         names = [entry.name for entry in entries]
-        place = names.index(self.me.name) if self.me.name in names else len(names)
-        return min(place + len(self.successors), MAX_RANK)
+        position = names.index(self.me.name) if self.me.name in names else len(names)
+        return min(position + len(self.successors), MAX_RANK)
 
     async def _may_claim(self, silence_s: float) -> bool:
-        """Return whether the owner is gone, and not just this entry cut off from it.
+        """Return whether the owner has failed, as opposed to this entry being cut off from it.
 
-        An entry that can't hear a healthy owner would take the pool away from all others. So
-        those who don't hear it must be half of the entries, or the owner must have been silent
-        at the store, too. An owner that is known to be gone can't be taken anything away from:
-        after a restart of all VMs the first that is up need not wait for half of the others, which
-        took 0.3 s of the 0.55 s without an owner.
+        An entry that is cut off from a healthy owner must not take the cell away from all others.
+        So either a majority of the entries must answer without being in contact with the owner, or
+        the owner must have stopped writing to the store. Neither is required if the owner is known
+        to have restarted: after a restart of all VMs, the first entry that is up would otherwise
+        wait for a majority, which accounts for 0.3 s of 0.55 s without an owner.
         """
-        if self._is_owner_heard():
+        if self._is_owner_reachable():
             return False
-        if self._was_never_owned() or self._is_owner_gone() or self._heard_by_half():
+        if self._has_no_known_owner() or self._has_owner_restarted() or self._has_majority():
             return True
-        if silence_s < MINORITY_SILENCE_S:
+        if silence_s < MINORITY_OWNER_TIMEOUT_S:
             return False
-        return not await self._owner_writes()
+        return not await self._is_owner_writing_to_store()
 
-    def _is_owner_heard(self) -> bool:
-        """Return whether an entry that answers hears the owner."""
+    def _is_owner_reachable(self) -> bool:
+        """Return whether an entry that answers is in contact with the owner."""
         if self.owner is None:
             return False
         return any(
             receipt.fence >= self.fence and receipt.owner_silence_s < SUSPECT_AFTER_S
-            for receipt in self._observer.fresh_receipts(FRESH_S)
+            for receipt in self._observer.fresh_receipts(MAX_RECEIPT_AGE_S)
         )
 
-    def _is_owner_gone(self) -> bool:
-        """Return whether a later life of the owner's VM is known, and no newer owner."""
-        return self.owner is not None and self._gone == self.owner.incarnation
+    def _has_owner_restarted(self) -> bool:
+        """Return whether a newer incarnation of the owner is known, and no newer owner."""
+        return self.owner is not None and self._restarted_owner == self.owner.incarnation
 
-    def _was_never_owned(self) -> bool:
-        """Return whether no owner of the cell is known, so that there is nobody to ask about.
+    def _has_no_known_owner(self) -> bool:
+        """Return whether no owner of the cell is known, so that there is no reason to probe.
 
-        A claim reads the store first, which tells of an owner that was not heard of. With 300
-        entries that all ask each other after the first start, 90,000 connections are opened.
+        An owner that exists nevertheless is found by the claim, which reads the store first. If 300
+        entries probe each other after the first start, they open 90,000 connections.
         """
         return self.owner is None and self._claim_offset < 0
 
-    def _heard_by_half(self) -> bool:
-        """Return whether half of the entries besides the owner answer, this one included."""
-        answering = len(self._observer.fresh_receipts(FRESH_S)) + 1
+    def _has_majority(self) -> bool:
+        """Return whether a majority of the entries answers.
+
+        This entry counts as answering; the owner is not counted.
+        """
+        answering = len(self._observer.fresh_receipts(MAX_RECEIPT_AGE_S)) + 1
         return 2 * answering > len(self._observer.known_entries()) - 1
 
-    async def _owner_writes(self) -> bool:
-        """Return whether the store has had a sign of life of an owner lately."""
+    async def _is_owner_writing_to_store(self) -> bool:
+        """Return whether an owner has recently written a liveness record to the store.
+
+        Also true if the store can't be read.
+        """
         if self._loop.time() - self._liveness_read_at > LIVENESS_INTERVAL_S / 2:
             await self._read_liveness()
             self._liveness_read_at = self._loop.time()
         if self._store_failed:
             return True
-        return self._loop.time() - self._liveness_moved_at < LIVENESS_LOST_S
+        return self._loop.time() - self._liveness_changed_at < LIVENESS_TIMEOUT_S
 
     async def _read_liveness(self) -> None:
         try:
@@ -428,60 +462,64 @@
             self._store_failed = True
             return
         self._store_failed = False
-        shown = max((r.offset for r in page.records if r.key == self._key), default=-1)
-        if shown != self._liveness_end:
-            self._liveness_end = shown
-            self._liveness_moved_at = self._loop.time()
+        newest_offset = max((r.offset for r in page.records if r.key == self._key), default=-1)
+        if newest_offset != self._liveness_offset:
+            self._liveness_offset = newest_offset
+            self._liveness_changed_at = self._loop.time()
 
     def _can_stand_in(self) -> bool:
-        if self._claim is None or self._stand_in_round >= STAND_IN_ROUNDS:
+        if self._claim is None or self._stand_in_round >= MAX_STAND_IN_ROUNDS:
             return False
         members = [member for member in self._claim.members if member.zone == self.me.zone]
         if self.me.incarnation not in [member.incarnation for member in members]:
             return False
-        if self._is_owner_heard():
+        if self._is_owner_reachable():
             return False
-        # Without an answer of anybody, it is probably this entry alone that is cut off, and its
-        # failure domain is well served.
-        return len(members) == 1 or bool(self._observer.fresh_receipts(FRESH_S))
+        # If no entry answers, probably only this one is cut off, and its failure domain is still
+        # served by the owner.
+        return len(members) == 1 or bool(self._observer.fresh_receipts(MAX_RECEIPT_AGE_S))
 
     def _stand_in(self) -> None:
         incarnations = [member.incarnation for member in self._claim.members]
-        place = incarnations.index(self.me.incarnation) + 1
-        place += self._stand_in_round * (len(incarnations) + 1)
-        if place < FENCES_PER_CLAIM:
-            self._become(make_fencing_token(self._claim_offset, place), self.me.zone)
-
-    async def _claim_pool(self) -> None:
-        """Try to append a claim, and follow whatever claim is the newest.
-
-        Another claim may come by the store's feed while this one is prepared. Claiming over it
-        would move the cell twice, and the jobs that the first owner had just got would wait for
-        1.4 s, since they may run unseen. A claim of another cell that comes between is no reason
-        to wait, nor is it one to give up.
+        position = incarnations.index(self.me.incarnation) + 1
+        position += self._stand_in_round * (len(incarnations) + 1)
+        if position < TOKENS_PER_CLAIM:
+            self._take_ownership(make_fencing_token(self._claim_offset, position), self.me.zone)
+
+    async def _claim_cell(self) -> None:
+        """Try to append a claim, and follow the newest claim.
+
+        Another claim for the cell may arrive through the store feed while this one is prepared. A
+        second claim would then move the cell twice, and the jobs just submitted to the first owner
+        would wait for 1.4 s because they may have orphaned runs. If the append conflicts with a
+        claim of another cell, it is repeated at once.
         """
-        known = self._claim_offset
-        if known < 0 and self.cell is WHOLE_POOL and await self._observer.create_initial_layout():
+        known_offset = self._claim_offset
+        if (
+            known_offset < 0
+            and self.cell is WHOLE_POOL_CELL
+            and await self._observer.create_initial_layout()
+        ):
             return
-        for _ in range(CLAIM_TRIES):
-            if not await self._try_claim(known):
+        for _ in range(MAX_CLAIM_ATTEMPTS):
+            if not await self._try_claim(known_offset):
                 return
 
-    async def _try_claim(self, known: int) -> bool:
-        """Try once to append a claim; return whether to try again.
+    async def _try_claim(self, known_offset: int) -> bool:
+        """Try once to append a claim; return whether to repeat it.
 
-        :param known: offset of the newest claim of this cell when the decision was made.
+        :param known_offset: offset of the newest claim of this cell at the time of the decision.
         """
         if self.me.registered < 0:
-            # The claim tells by the registration which life of this VM owns the cell. While that
-            # has not come through, a claim would not either.
+            # The claim identifies the incarnation of the owner by its registration. While the store
+            # has not accepted the registration, it would not accept a claim either.
             return False
         claim = OwnerClaim(owner=self.me, members=self._choose_members())
         try:
             page = await self._store.newest(Topic.CLAIMS)
             self._store_failed = False
             self.note_records(page.records)
-            if self._closed or self._claim_offset > known:
+            if self._closed or self._claim_offset > known_offset:
                 return False
             self._observer.on_claiming()
             offset = await self._store.append(
@@ -491,7 +529,7 @@
             log.info("claim_lost cell=%s at=%d", self.cell.name, page.end)
             return True
         except StoreUnavailableError as error:
-            # It may have taken effect; the next look at the store tells.
+            # The append may have taken effect; the next read of the store shows whether it has.
             log.warning('claim_unanswered error="%s"', error)
             self._store_failed = True
             return False
@@ -499,20 +537,21 @@
         return False
 
     def _choose_members(self) -> list[EntryInfo]:
-        """Return the entries that may stand in, the strongest of each failure domain.
+        """Return the entries that may become stand-ins: the preferred ones of each failure domain.
 
-        All entries of all cells read each claim, so it must not grow with the entries.
+        Every entry of every cell reads each claim, so its size must not grow with the number of
+        entries.
         """
         members: list[EntryInfo] = []
-        chosen: Counter[str] = Counter()
+        count_by_domain: Counter[str] = Counter()
         for entry in sorted(self._observer.known_entries(), key=EntryInfo.owner_preference_key):
-            if chosen[entry.zone] < MEMBERS_PER_DOMAIN:
-                chosen[entry.zone] += 1
+            if count_by_domain[entry.zone] < MEMBERS_PER_DOMAIN:
+                count_by_domain[entry.zone] += 1
                 members.append(entry)
         return members
 
     def note_records(self, records: list[StoreRecord]) -> None:
-        """Take note of the newest records of the log of claims."""
+        """Process the newest records of the claims topic."""
         for record in records:
             if record.key == LAYOUT_KEY:
                 self._observer.on_layout(record)
@@ -522,7 +561,7 @@
 
 
 def decode_claim(value: bytes) -> OwnerClaim | None:
-    """Return a claim as it stands in the store; None, with a log line, if it can't be read."""
+    """Decode a claim; log an error and return None if it is invalid."""
     try:
         return msgspec.json.decode(value, type=OwnerClaim)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
--- a/zincwell/dispatch/_evacuations.py
+++ b/zincwell/dispatch/_evacuations.py
@@ -1,4 +1,4 @@
-"""The failure domains that operators have evacuated, as far as this entry knows."""
+"""Failure domains that operators have evacuated, as known to this entry."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class EvacuationTracker:
-    """Keeps the newest account of the evacuations, from the store or from another entry.
+    """Tracks the newest state of the evacuations, from the store or from another entry.
 
-    An evacuation is a state that lasts until operators take it back, so it must outlive owners
-    and reach entries that the store does not answer. All entries tell each other what they know
-    with each message, but only where somebody has heard of an evacuation at all.
+    An evacuation lasts until operators revoke it. It must survive a change of owner and reach
+    entries that have no access to the store, so the entries exchange the state with each message.
+    They do so only after there has been an evacuation.
 
-    :param on_change: called when other failure domains are evacuated than before.
+    :param on_change: called when the set of evacuated domains has changed.
     """
 
     def __init__(self, *, on_change: Callable[[], None], metrics: Metrics) -> None:
         self.current = Evacuations()
         self._on_change = on_change
         self._metrics = metrics
-        self._is_news = False
+        self._is_shared = False
 
     @property
     def domains(self) -> list[str]:
@@ -33,37 +33,37 @@
         return self.current.domains
 
     def state_to_share(self) -> Evacuations | None:
-        """Return what other entries should be told, None if nobody has heard of an evacuation.
+        """Return the state to send to other entries, or None if there was no evacuation so far.
 
-        Once one has been heard of, its end must be told as well: an entry that the store does not
-        answer would keep the domain empty for good.
+        After an evacuation, its end must be sent as well: an entry without access to the store
+        would otherwise never use the domain again.
         """
-        return self.current if self._is_news else None
+        return self.current if self._is_shared else None
 
     def update_from_store(self, domains: Iterable[str], *, offset: int) -> None:
-        """Take over all evacuations that the store lists up to a place in its log."""
-        self._take(Evacuations(place=offset, domains=sorted(domains)), source="store")
+        """Adopt all evacuations in the store, read up to an offset of its log."""
+        self._adopt(Evacuations(place=offset, domains=sorted(domains)), source="store")
 
-    def update_from_peer(self, account: Evacuations | None, *, entry: str) -> None:
-        """Take note of what another entry knows."""
-        if account is None:
+    def update_from_peer(self, state: Evacuations | None, *, entry: str) -> None:
+        """Adopt the state that another entry has sent, if it is newer."""
+        if state is None:
             return
-        self._is_news = True
-        self._take(account, source=entry)
+        self._is_shared = True
+        self._adopt(state, source=entry)
 
-    def _take(self, account: Evacuations, *, source: str) -> None:
-        if account.place < self.current.place:
+    def _adopt(self, state: Evacuations, *, source: str) -> None:
+        if state.place < self.current.place:
             return
-        before, self.current = self.current, account
-        self._is_news = self._is_news or bool(account.domains)
-        if account.domains == before.domains:
+        previous, self.current = self.current, state
+        self._is_shared = self._is_shared or bool(state.domains)
+        if state.domains == previous.domains:
             return
         self._metrics.count("evacuation_changes", f'source="{source}"')
         log.info(
             "evacuations_in_force domains=%s before=%s place=%d from=%s",
-            ",".join(account.domains) or "none",
-            ",".join(before.domains) or "none",
-            account.place,
+            ",".join(state.domains) or "none",
+            ",".join(previous.domains) or "none",
+            state.place,
             source,
         )
         self._on_change()
--- a/zincwell/dispatch/_layout_manager.py
+++ b/zincwell/dispatch/_layout_manager.py
@@ -1,4 +1,4 @@
-"""Divides the pool into cells when one owner can't carry it, and joins them again."""
+"""Divides the pool into cells if it is too large for one owner, and merges cells again."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 log = logging.getLogger("zincwell.cells")
 
 LAYOUT_CHECK_INTERVAL_S = 0.5
-# A plan must stay the same for this many seconds before it is carried out. After a start, workers
-# and entries are listed within two. Cells are joined much later: during an outage of the store
-# workers lapse in the list, and are back only some seconds after it.
+# A plan must remain the same for this long before it is applied. After a start, all workers and
+# entries are listed within 2 s. Cells are merged after a much longer time, because workers expire
+# from the list during an outage of the store and return to it only some seconds later.
 DIVIDE_AFTER_S = 2.0
-JOIN_AFTER_S = 60.0
+MERGE_AFTER_S = 60.0
 
 
 class LayoutManager:
-    """Looks whether the layout fits the pool, as the owner of the first cell.
+    """Checks whether the layout fits the pool; runs on the owner of the first cell.
 
     :param on_layout: called with the record of a new layout.
     """
@@ -55,27 +55,29 @@
         self._planned_at = 0.0
 
     def is_change_due(self, *, entries: Iterable[EntryInfo], workers: Iterable[WorkerInfo]) -> bool:
-        """Return whether another layout has been the better one for long enough."""
+        """Return whether the same better layout has been planned for long enough."""
         self._entries = list(entries)
         domains = count_domains(self._entries, workers)
-        current = self._current(domains)
+        current = self._current_shapes(domains)
         plan = list(plan_cells(domains, current)) if domains else current
         now = self._loop.time()
         if plan != self._plan:
             self._plan, self._planned_at = plan, now
         if plan == current:
             return False
-        more = sum(shape.parts for shape in plan) > sum(shape.parts for shape in current)
-        return now - self._planned_at >= (DIVIDE_AFTER_S if more else JOIN_AFTER_S)
+        divides = sum(shape.parts for shape in plan) > sum(shape.parts for shape in current)
+        return now - self._planned_at >= (DIVIDE_AFTER_S if divides else MERGE_AFTER_S)
 
     async def create_initial_layout(
         self, *, entries: Iterable[EntryInfo], workers: Iterable[WorkerInfo]
     ) -> bool:
-        """Write the first layout of a pool that nobody owns yet, if it needs several cells.
+        """Write the first layout of a pool without owner if it needs several cells.
 
-        An owner of the whole pool, for the seconds until the pool is divided, would send each
-        heartbeat to all entries and hold all workers: with 300 entries it falls behind, the others
-        take it for lost, and each asks all others for it.
+        Otherwise one owner would send heartbeats to all entries and renew the leases of all workers
+        for the seconds until the pool is divided. With 300 entries it can't keep up; the others
+        consider it lost, and each of them probes all others.
+
+        :returns: whether the pool needs several cells and has no layout yet.
         """
         self._entries = list(entries)
         domains = count_domains(self._entries, workers)
@@ -87,28 +89,28 @@
         await self.change()
         return True
 
-    def _current(self, domains: dict[str, DomainSize]) -> list[CellShape]:
-        """Return the shapes in force; a pool that was never divided has all domains in one."""
-        everything = tuple(sorted(domains))
+    def _current_shapes(self, domains: dict[str, DomainSize]) -> list[CellShape]:
+        """Return the current shapes; an undivided pool has one shape with all domains."""
+        all_domains = tuple(sorted(domains))
         return [
-            shape if shape.domains else replace(shape, domains=everything)
+            shape if shape.domains else replace(shape, domains=all_domains)
             for shape in self._cell_directory.layout.shapes()
         ]
 
     async def change(self) -> None:
-        """Write the planned layout, unless somebody has written to the log meanwhile."""
-        known = self._cell_directory.layout_offset
+        """Write the planned layout, unless the log of claims has changed in the meantime."""
+        known_offset = self._cell_directory.layout_offset
         layout = make_layout(
             self._plan,
-            mark=f"{self._me.incarnation[-6:]}-{known + 1}",
-            before=self._cell_directory.layout,
+            suffix=f"{self._me.incarnation[-6:]}-{known_offset + 1}",
+            previous=self._cell_directory.layout,
             entries=self._entries,
         )
         value = msgspec.json.encode(layout)
         try:
             page = await self._store.newest(Topic.CLAIMS)
             for record in page.records:
-                if record.key == LAYOUT_KEY and record.offset > known:
+                if record.key == LAYOUT_KEY and record.offset > known_offset:
                     self._on_layout(record)
                     return
             offset = await self._store.append(
@@ -126,7 +128,7 @@
 def count_domains(
     entries: Iterable[EntryInfo], workers: Iterable[WorkerInfo]
 ) -> dict[str, DomainSize]:
-    """Return what each failure domain has."""
+    """Return the number of workers and the cores of the entries of each failure domain."""
     sizes: dict[str, DomainSize] = {}
     for entry in entries:
         size = sizes.get(entry.zone, DomainSize())
--- a/zincwell/dispatch/_reachability.py
+++ b/zincwell/dispatch/_reachability.py
@@ -1,4 +1,4 @@
-"""Which entries an owner still reaches, and the jobs of those that it does not."""
+"""Reachability of the entries of a cell, as its owner observes it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 from zincwell.dispatch._types import EntryInfo
 from zincwell.dispatch._worker_list import WorkerList
 
-# While domains are cut off, jobs of an entry that is silent for this long are stopped. Callers see
-# its death at once and send again 1.3 s later; a stop takes up to 0.2 s.
-ENTRY_LOST_S = 0.9
+# While a partition lasts or the pool has several cells, the jobs of an entry are stopped if it has
+# not answered for this long. Its callers notice at once that it has failed and resubmit their jobs
+# 1.3 s later; a stop takes up to 0.2 s.
+ENTRY_TIMEOUT_S = 0.9
 
 
 class ReachabilityMonitor:
-    """Looks over the entries of the own cell as its owner.
+    """Tracks which entries of the home cell its owner can reach.
 
-    :param domains: when each failure domain was last out of hearing.
+    :param domains: tells which failure domains are cut off.
     """
 
     def __init__(
@@ -36,36 +37,39 @@
         self._domains = domains
 
     def reaches_all_domains(self, *, elected_at: float) -> bool:
-        """Return whether an entry of each failure domain answers, and has for a while."""
+        """Return whether all failure domains are reachable, and have been for long enough."""
         if self._worker_list.read_at() < elected_at:
-            # Workers that are new since this entry read the list may run something.
+            # Workers that were added since this entry read the list may be running tasks.
             return False
         links = self._directory.links_by_name.values()
         return self._domains.reaches_all(self._directory.cell_members(), links)
 
     def drop_jobs_of_unreachable_entries(self, owner: Owner) -> None:
-        """Stop the jobs of entries that can't be heard because of a partition, or may be dead.
+        """Stop the jobs of entries that are cut off by a partition or may have failed.
 
-        While failure domains are cut off from each other, the callers of an entry that dies may
-        send their jobs again to the other side, which would run them a second time.
+        During a partition, the callers of a failed entry may resubmit their jobs on the other side,
+        which would run them a second time.
         """
         if not self._worker_list.is_fresh():
-            self._domains.note_list_unread()
-        lost = self._find_lost()
+            self._domains.note_worker_list_unavailable()
+        silent = self._find_silent_entries()
         if self._cell_directory.other_cells():
-            # The caller of an entry that died may send its job again to any cell, which would run
-            # it a second time beside this one.
-            owner.jobs.drop_jobs_of(lost, reason="entry lost")
+            # The callers of a failed entry may resubmit their jobs to any cell, which would run
+            # them a second time alongside this one.
+            owner.jobs.drop_jobs_of(silent, reason="entry lost")
         entries = self._directory.cell_members()
-        cut_off = self._domains.find_cut_off(entries, self._directory.links_by_name)
+        cut_off = self._domains.find_cut_off_domains(entries, self._directory.links_by_name)
         if not cut_off and owner.domain is None:
             return
-        outside = {entry.name for entry in entries if entry.zone in cut_off}
-        owner.jobs.drop_jobs_of(outside, reason="failure domain cut off")
-        owner.jobs.drop_jobs_of(outside | lost, reason="entry lost during a partition")
+        cut_off_entries = {entry.name for entry in entries if entry.zone in cut_off}
+        owner.jobs.drop_jobs_of(cut_off_entries, reason="failure domain cut off")
+        owner.jobs.drop_jobs_of(cut_off_entries | silent, reason="entry lost during a partition")
 
-    def _find_lost(self) -> set[str]:
+    def _find_silent_entries(self) -> set[str]:
         links_by_name = self._directory.links_by_name
-        lost = {name for name, link in links_by_name.items() if link.silence_s() > ENTRY_LOST_S}
-        # After a restart there may be a link to this VM's own life before, which never answers.
-        return lost - {self._me.name}
+        silent = {
+            name for name, link in links_by_name.items() if link.silence_s() > ENTRY_TIMEOUT_S
+        }
+        # After a restart there may be a link to the previous incarnation of this entry, which never
+        # answers.
+        return silent - {self._me.name}
