--- a/tests/test_platform_http.py
+++ b/tests/test_platform_http.py
@@ -1,4 +1,4 @@
-"""The platform's wire: settings, store, workers, callers, over real connections."""
+"""Platform adapter: settings, and HTTP to the store, to workers and from callers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 )
 from zincwell.exceptions import SettingsError
 from zincwell.platform._callers import CallerListener
-from zincwell.platform._http import HttpCaller
+from zincwell.platform._http import HttpClient
 from zincwell.platform._server import HttpServer
 from zincwell.platform._settings import read_settings
 from zincwell.platform._store import HttpStore
@@ -66,22 +66,22 @@
 
 
 class Peer:
-    """A server that answers each call with what the test has laid down for its path."""
+    """A server that responds with the status and body that the test has set for the path."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, dict, bytes]] = []
-        self.answers: dict[str, tuple[int, bytes]] = {}
+        self.responses: dict[str, tuple[int, bytes]] = {}
         self.headers: list[dict] = []
 
     async def handle(self, request: web.BaseRequest) -> web.Response:
         self.calls.append((request.path, dict(request.query), await request.read()))
         self.headers.append(dict(request.headers))
-        status, body = self.answers[request.path]
+        status, body = self.responses[request.path]
         return web.Response(status=status, body=body)
 
-    def answer(self, path: str, status: int, body: object = b"") -> None:
+    def set_response(self, path: str, status: int, body: object = b"") -> None:
         raw = body if isinstance(body, bytes) else json.dumps(body).encode()
-        self.answers[path] = (status, raw)
+        self.responses[path] = (status, raw)
 
 
 @pytest.fixture
@@ -92,7 +92,7 @@
 
 
 async def serve(handler) -> tuple[asyncio.AbstractServer, str]:
-    """Serve a handler at a free port and return its address."""
+    """Serve a handler at a free port; return the server and its address."""
     server = web.Server(handler)
     listener = await asyncio.get_running_loop().create_server(server, "127.0.0.1", 0)
     host, port = listener.sockets[0].getsockname()
@@ -101,7 +101,7 @@
 
 @pytest.fixture
 async def peer() -> AsyncIterator[Peer]:
-    """A server with laid down answers, at ``peer.address``."""
+    """A server with scripted responses, at ``peer.address``."""
     peer = Peer()
     listener, peer.address = await serve(peer.handle)
     yield peer
@@ -109,35 +109,35 @@
 
 
 @pytest.fixture
-async def http() -> AsyncIterator[HttpCaller]:
-    """What calls the platform and other entries."""
-    http = HttpCaller()
+async def http() -> AsyncIterator[HttpClient]:
+    """The HTTP client of the adapter."""
+    http = HttpClient()
     yield http
     http.close()
 
 
 @pytest.fixture
-def store(peer: Peer, http: HttpCaller) -> HttpStore:
-    """The store's client."""
+def store(peer: Peer, http: HttpClient) -> HttpStore:
+    """The client of the store."""
     return HttpStore(address=peer.address, http=http)
 
 
 @pytest.fixture
-def workers(http: HttpCaller) -> HttpWorkerClient:
-    """The client for workers."""
+def workers(http: HttpClient) -> HttpWorkerClient:
+    """The client of workers."""
     return HttpWorkerClient(http=http)
 
 
 @pytest.fixture
 def worker(peer: Peer) -> WorkerInfo:
-    """A worker at the server with laid down answers."""
+    """A worker whose address is the server with scripted responses."""
     return WorkerInfo(
         id="i-1", service="svc", address=peer.address, zone="a", cpu=64_000, memory_mb=1_000
     )
 
 
 class FakePendingJobs:
-    """Answers every job with one outcome."""
+    """Gives every job the same outcome."""
 
     def __init__(self) -> None:
         self.outcome = Outcome(verdict=Verdict.SUCCEEDED)
@@ -155,7 +155,7 @@
 
 
 class FakeNode:
-    """An entry as its listener for callers sees it."""
+    """The parts of a node that the listener for callers uses."""
 
     def __init__(self) -> None:
         route = Route(name="r", host="h.example", prefix="/q/", service="svc", priority=1)
@@ -173,7 +173,7 @@
 
 @pytest.fixture
 async def node() -> FakeNode:
-    """An entry's node."""
+    """A node with one route."""
     return FakeNode()
 
 
@@ -204,7 +204,7 @@
     )
 
 
-def test_another_address_for_other_entries_may_be_told(tmp_path: Path):
+def test_advertised_address_may_differ_from_listen_address(tmp_path: Path):
     path = tmp_path / "local.conf"
     path.write_text(SETTINGS + "advertise.peers=10.9.0.1:80\n")
     settings = read_settings(path)
@@ -222,7 +222,7 @@
         ("bounds.graceS=5", "bounds.graceS=-1", "bounds.graceS: '-1' is negative"),
     ],
 )
-def test_wrong_settings_are_named(tmp_path: Path, line: str, replacement: str, message: str):
+def test_invalid_settings_are_named(tmp_path: Path, line: str, replacement: str, message: str):
     path = tmp_path / "local.conf"
     path.write_text(SETTINGS.replace(line, replacement))
     with pytest.raises(SettingsError) as caught:
@@ -236,25 +236,25 @@
 async def test_newest_reads_all_pages(store: HttpStore, peer: Peer):
     value = base64.b64encode(b"v").decode()
     page = {"items": [{"key": "a", "value": value, "offset": 4}], "morePages": False, "end": 6}
-    peer.answer("/v1/log-newest", 200, page)
+    peer.set_response("/v1/log-newest", 200, page)
     result = await store.newest(Topic.ENTRIES)
     assert_that(result.end, Equals(6))
     assert_that(result.records[0], MatchesStructure.byEquality(key="a", value=b"v", offset=4))
 
 
-async def test_changes_are_parsed_and_a_dropped_key_has_no_value(store: HttpStore, peer: Peer):
+async def test_changes_are_parsed_and_a_deleted_key_has_no_value(store: HttpStore, peer: Peer):
     records = [b"\x01kvalue", b"\x01k"]
     body = struct.pack(">QQ", 9, 2)
     body += b"".join(struct.pack(">I", len(record)) + record for record in records)
-    peer.answer("/v1/log-read", 200, body)
+    peer.set_response("/v1/log-read", 200, body)
     page = await store.changes(Topic.ENTRIES, start=7, wait_s=1.5)
     assert_that([(r.offset, r.value) for r in page.records], Equals([(7, b"value"), (8, None)]))
     assert_that(page.end, Equals(9))
     assert_that(peer.calls[0][1]["waitMs"], Equals("1500"))
 
 
-async def test_append_frames_the_record_and_names_its_condition(store: HttpStore, peer: Peer):
-    peer.answer("/v1/log-append", 200, {"offset": 840, "end": 841})
+async def test_append_encodes_the_record_and_its_condition(store: HttpStore, peer: Peer):
+    peer.set_response("/v1/log-append", 200, {"offset": 840, "end": 841})
     assert_that(await store.append(Topic.ENTRIES, key="k", value=b"v", at=840), Equals(840))
     _, query, body = peer.calls[0]
     assert_that(query["at"], Equals("840"))
@@ -270,18 +270,18 @@
         (503, StoreUnavailableError),
     ],
 )
-async def test_refusals_of_the_store_are_told_apart(
+async def test_store_errors_are_distinguished_by_status(
     store: HttpStore, peer: Peer, status: int, error: type[Exception]
 ):
-    peer.answer("/v1/log-append", status)
+    peer.set_response("/v1/log-append", status)
     with pytest.raises(error):
         await store.append(Topic.ENTRIES, key="k", value=b"v", at=1)
 
 
-async def test_unreadable_configuration_is_left_out(store: HttpStore, peer: Peer):
+async def test_malformed_configuration_has_no_value(store: HttpStore, peer: Peer):
     value = base64.b64encode(b'{"version":"seven"}').decode()
     item = {"key": "config", "value": value, "offset": 1}
-    peer.answer("/v1/log-newest", 200, {"items": [item], "morePages": False, "end": 2})
+    peer.set_response("/v1/log-newest", 200, {"items": [item], "morePages": False, "end": 2})
     page = await store.newest(Topic.CONFIGURATION)
     assert_that(page.records[0].value, Is(None))
 
@@ -305,10 +305,10 @@
         (400, "", StartStatus.INVALID),
     ],
 )
-async def test_answers_to_a_start(
+async def test_start_status_of_each_response(
     workers, worker, peer: Peer, status: int, reason: str, expected: StartStatus
 ):
-    peer.answer("/v1/run-start", status, {"clockMs": 482_113, "reason": reason})
+    peer.set_response("/v1/run-start", status, {"clockMs": 482_113, "reason": reason})
     reply = await workers.start(worker, make_order(), timeout_s=5)
     assert_that(reply, MatchesStructure.byEquality(status=expected, clock_ms=482_113))
     assert_that(json.loads(peer.calls[0][2])["task"], Equals(f"{JOB_ID}.0.1.17"))
@@ -324,18 +324,18 @@
         (409, "new reason", WorkerCallError),
     ],
 )
-async def test_a_start_that_another_owner_or_life_refuses(
+async def test_start_errors_of_each_response(
     workers, worker, peer: Peer, status: int, reason: str, error: type[Exception]
 ):
-    peer.answer("/v1/run-start", status, {"clockMs": 1, "reason": reason})
+    peer.set_response("/v1/run-start", status, {"clockMs": 1, "reason": reason})
     with pytest.raises(error):
         await workers.start(worker, make_order(), timeout_s=5)
 
 
-async def test_hold_tells_what_runs_and_what_ended(workers, worker, peer: Peer):
+async def test_hold_returns_active_and_ended_runs(workers, worker, peer: Peer):
     name = f"{JOB_ID}.0.1.17"
     body = {"clockMs": 5, "running": [[name, 2, "", 41]], "ended": [[58, name, 1, "alone", ""]]}
-    peer.answer("/v1/hold", 200, body)
+    peer.set_response("/v1/hold", 200, body)
     reply = await workers.hold(
         worker, fence=7, acknowledged=57, deadline_ms=486_000, wait_s=0.25, timeout_s=5
     )
@@ -345,7 +345,7 @@
     assert_that(sent, Equals({"fence": 7, "lastSeen": 57, "deadlineMs": 486_000, "waitMs": 250}))
 
 
-async def test_a_silent_worker_is_an_error_of_its_own(workers):
+async def test_an_unreachable_worker_raises_worker_call_error(workers):
     listener, address = await serve(None)
     listener.close()
     info = WorkerInfo(id="i", service="s", address=address, zone="a", cpu=1, memory_mb=1)
@@ -365,7 +365,7 @@
         return response.status, await response.json(), response.headers
 
 
-async def test_a_job_is_answered_with_its_state(session, callers, node: FakeNode):
+async def test_a_job_returns_its_state(session, callers, node: FakeNode):
     status, body, _ = await post(session, callers, JOB)
     assert_that((status, body), Equals((200, {"state": "succeeded"})))
     assert_that(node.pending_jobs.jobs[0].steps[0].cpu, Equals(500))
@@ -375,10 +375,10 @@
 @pytest.mark.parametrize(
     ("verdict", "status"), [(Verdict.REFUSED, 503), (Verdict.UNKNOWN, 504), (Verdict.FAILED, 200)]
 )
-async def test_only_what_never_ran_is_refused(session, callers, node, verdict, status):
+async def test_only_jobs_that_never_ran_get_503(session, callers, node, verdict, status):
     node.pending_jobs.outcome = Outcome(verdict=verdict, reason="why", retry_after_s=1.0)
-    answered, body, headers = await post(session, callers, JOB)
-    assert_that(answered, Equals(status))
+    actual, body, headers = await post(session, callers, JOB)
+    assert_that(actual, Equals(status))
     if status != 200:
         assert_that(body, Equals({"error": "why", "retryAfterMs": 1000}))
         assert_that(headers["Retry-After"], Equals("1"))
@@ -400,16 +400,18 @@
         ({"steps": [{"count": 1, "persistent": True}]}, 501, "steps[0].persistent"),
     ],
 )
-async def test_bad_jobs_are_refused_by_the_field(session, callers, node, change, status, message):
-    answered, body, _ = await post(session, callers, {**JOB, **change})
-    assert_that(answered, Equals(status))
+async def test_invalid_jobs_are_rejected_with_the_field(
+    session, callers, node, change, status, message
+):
+    actual, body, _ = await post(session, callers, {**JOB, **change})
+    assert_that(actual, Equals(status))
     assert_that(body["error"], Contains(message))
     assert_that(node.pending_jobs.jobs, Equals([]))
 
 
-async def test_jobs_of_a_queue_that_needs_tickets_are_refused(session, callers, node):
-    # Symptom: workers seem silent and jobs wait until they are late. Sequence: a start without a
-    # ticket is refused by every worker. Cause: the queue is taken for one like the others.
+async def test_jobs_of_a_queue_with_tickets_are_rejected(session, callers, node):
+    # Workers reject a start without a ticket, so jobs of such a queue would wait until they are
+    # late if they were accepted.
     document = {
         "version": 2,
         "routes": [
@@ -423,25 +425,25 @@
         ],
     }
     node.configuration = decode_configuration(json.dumps(document).encode())
-    answered, body, _ = await post(session, callers, JOB)
-    assert_that(answered, Equals(501))
+    actual, body, _ = await post(session, callers, JOB)
+    assert_that(actual, Equals(501))
     assert_that(body["error"], Contains("advice"))
     assert_that(node.pending_jobs.jobs, Equals([]))
 
 
-async def test_bodies_that_are_no_json_and_ids_of_the_wrong_form(session, callers):
+async def test_invalid_json_and_invalid_ids_are_rejected(session, callers):
     assert_that((await post(session, callers, b"{"))[0], Equals(400))
     assert_that((await post(session, callers, JOB, job_id="short"))[0], Equals(400))
 
 
-async def test_unknown_routes_and_no_configuration(session, callers, node: FakeNode):
+async def test_unknown_route_and_missing_configuration(session, callers, node: FakeNode):
     assert_that((await post(session, callers, JOB, host="other"))[0], Equals(404))
     node.configuration = None
     status, _, headers = await post(session, callers, JOB)
     assert_that((status, headers["Retry-After"]), Equals((503, "1")))
 
 
-async def test_counts_and_states(session, callers):
+async def test_pending_count_job_state_and_cancel(session, callers):
     headers = {"Host": "h.example"}
     async with session.get(f"{callers}/q/", headers=headers) as response:
         assert_that(await response.json(), Equals({"pending": 3}))
@@ -453,11 +455,9 @@
         assert_that(response.status, Equals(200))
 
 
-async def test_an_entry_about_to_end_refuses_and_closes(session, callers, node: FakeNode):
-    # Symptom: a caller's connection closes without an answer during a planned restart.
-    # Sequence: the entry has answered all it had and is about to end; a request comes on a
-    # connection that is still open, and the process ends before it is answered.
-    # Cause: requests are let in up to the end.
+async def test_an_entry_about_to_exit_rejects_and_closes(session, callers, node: FakeNode):
+    # During a planned restart an entry that has completed its jobs may get another request on an
+    # open connection. If it accepted the request, the process would exit before the response.
     node.leaving = node.refusing = True
     status, body, headers = await post(session, callers, JOB)
     assert_that((status, body["retryAfterMs"]), Equals((503, 1000)))
--- a/tests/test_foreign_entries.py
+++ b/tests/test_store_records.py
@@ -1,4 +1,4 @@
-"""Entries of the store that others wrote, or that can't be read."""
+"""Store records that other programs wrote or that are malformed."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     "capacity": {"cpu": 64000, "memMb": 100},
     "labels": ["a"],
 }
-ANYTHING = st.recursive(
+ANY_JSON_VALUE = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=5,
@@ -41,7 +41,7 @@
     return json.dumps(fields).encode()
 
 
-def test_a_whole_entry_names_a_worker():
+def test_a_complete_record_is_decoded():
     info = decode_worker("w", encode(capacity={"cpu": 64000.0, "memMb": 100, "gpu": 2}))
     assert_that((info.cpu, info.memory_mb, info.gpu, info.draining), Equals((64000, 100, 2, False)))
     assert_that(decode_worker("w", encode(state="draining")).draining, Is(True))
@@ -67,18 +67,17 @@
         {"labels": "a"},
     ],
 )
-def test_an_entry_of_another_writer_names_no_worker(changes: dict):
-    # Symptom: orders go to an address that no worker listens on, or to one in a state that may
-    # not be used. Sequence: another writer's entry is read from the list of workers. Cause:
-    # fields that are missing or of another type are filled in or converted.
+def test_an_invalid_record_is_rejected(changes: dict):
+    # If missing fields got defaults or wrong types were converted, runs would be sent to addresses
+    # without a worker, or to workers in a state that doesn't allow it.
     with pytest.raises(DocumentError):
         decode_worker("w", encode(**changes))
 
 
 @seed(1)
 @settings(max_examples=200, deadline=None, database=None)
-@given(st.sampled_from(sorted(WORKER)), ANYTHING)
-def test_any_value_is_read_or_refused(field: str, value: object):
+@given(st.sampled_from(sorted(WORKER)), ANY_JSON_VALUE)
+def test_any_value_is_decoded_or_rejected(field: str, value: object):
     try:
         info = decode_worker("w", json.dumps({**WORKER, field: value}).encode())
     except DocumentError:
@@ -89,19 +88,19 @@
 @seed(1)
 @settings(max_examples=300, deadline=None, database=None)
 @given(st.binary(max_size=80), st.integers(0, 80))
-def test_any_bytes_are_read_or_refused(noise: bytes, cut: int):
-    # Whole records, cut short and with noise in place of what comes after.
+def test_any_bytes_are_parsed_or_rejected(noise: bytes, cut: int):
+    # Random bytes, a truncated response followed by random bytes, and one with trailing bytes.
     content = bytes([1]) + b"w" + encode()
     body = struct.pack(">QQI", 5, 0, len(content)) + content
-    for broken in (noise, body[:cut] + noise, body + noise):
+    for malformed in (noise, body[:cut] + noise, body + noise):
         try:
-            page = RecordDecoder().parse(Topic.WORKERS, 4, broken)
+            page = RecordDecoder().parse(Topic.WORKERS, 4, malformed)
         except StoreUnavailableError:
             continue
         assert_that(page.end >= 4, Is(True))
 
 
-def test_the_other_records_hold():
+def test_malformed_records_do_not_affect_others():
     decoder = RecordDecoder()
     contents = [
         b"\x01a" + encode(),
@@ -114,15 +113,15 @@
     body += b"".join(struct.pack(">I", len(content)) + content for content in contents)
     page = decoder.parse(Topic.WORKERS, 0, body)
     assert_that(page.end, Equals(5))
-    named = [r.key for r in page.records if r.value is not None]
-    assert_that(named, HasLength(3))
-    assert_that((named[0], named[-1]), Equals(("a", "c")))
+    valid_keys = [r.key for r in page.records if r.value is not None]
+    assert_that(valid_keys, HasLength(3))
+    assert_that((valid_keys[0], valid_keys[-1]), Equals(("a", "c")))
 
 
 @pytest.mark.looptime
-async def test_unreadable_claims_and_entries_stop_nothing(world: World):
-    # Symptom: an entry follows no change of the owner any more. Sequence: a record of the topic
-    # of entries can't be read. Cause: the error ends the task that follows the topic.
+async def test_malformed_claims_and_entries_do_not_prevent_failover(world: World):
+    # If a malformed record ended the task that reads its topic, the entry would no longer notice
+    # owner changes.
     await world.open()
     owner = world.owners()[0]
     world._append(Topic.ENTRIES, "entry/stray", b"\xff{")
@@ -137,10 +136,10 @@
 
 
 @pytest.mark.looptime
-async def test_a_worker_of_an_unknown_service_is_left_alone(world: World):
-    # Symptom: after a take-over jobs wait for 1.4 s. Sequence: the list names a worker of a
-    # service that the configuration does not have, at an address where nothing answers. Cause: the
-    # owner waits for it to show what it runs.
+async def test_a_worker_of_an_unknown_service_is_ignored(world: World):
+    # The worker list may contain an unreachable worker of a service that is not in the
+    # configuration. If a new owner waited for its list of runs, jobs would wait for 1.4 s after a
+    # failover.
     await world.open()
     stray = WorkerInfo(id="x", service="other", address="x", zone="a", cpu=64_000, memory_mb=1)
     world.list_worker(stray)
--- a/zincwell/platform/__init__.py
+++ b/zincwell/platform/__init__.py
@@ -1,5 +1,7 @@
-"""zincwell on the users' platform: its names, formats and calls. Nothing here decides.
+"""Adapter to the users' platform: its names, message formats and HTTP calls.
 
-The folder lies inside the package, since a package ``platform`` at the root of the repository
-would hide Python's own module of that name from everything that runs there.
+Dispatching decisions are made in :mod:`zincwell.dispatch`, not here.
+
+This is a subpackage because a top-level package ``platform`` at the root of the repository would
+shadow the standard library module of that name.
 """
--- a/zincwell/platform/__main__.py
+++ b/zincwell/platform/__main__.py
@@ -8,11 +8,11 @@
 
 def run() -> int:
     """Run until SIGTERM; return the exit status."""
-    # SIGHUP says that the settings have changed, and may come at any time. Until the event loop
-    # takes it, it would end the process, which shows as an entry that is gone a moment after its
-    # start without a line. The settings are read after this, so nothing is missed.
+    # The platform sends SIGHUP at any time to announce changed settings. Without a handler the
+    # signal would end a starting process without a log line. The settings are read after this, so
+    # no change is missed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    from zincwell.platform._process import main  # After the signal: this takes 0.2 s.
+    from zincwell.platform._process import main  # Takes 0.2 s, so SIGHUP is ignored first.
 
     return main()
 
--- a/zincwell/platform/_callers.py
+++ b/zincwell/platform/_callers.py
@@ -1,4 +1,4 @@
-"""The interface to callers, and the balancer's question whether this entry takes them."""
+"""HTTP handlers for callers, for the load balancer's readiness check and for metrics."""
 
 from __future__ import annotations
 
@@ -21,82 +21,85 @@
     Verdict.SUCCEEDED: 200,
     Verdict.FAILED: 200,
     Verdict.CANCELLED: 200,
-    # Says that the job never runs; only an unknown outcome may be answered by 504.
+    # 503 promises that the job never runs; a job that may have run is answered with 504.
     Verdict.REFUSED: 503,
     Verdict.UNKNOWN: 504,
 }
-# Before the configuration is known, coming back is worth a try after this many seconds.
-UNCONFIGURED_RETRY_S = 1
-UNCONFIGURED_BODY_BYTES = 1 << 20
-# Another entry takes the job at once.
-LEAVING_RETRY_S = 1
+UNCONFIGURED_RETRY_AFTER_S = 1
+UNCONFIGURED_MAX_BODY_BYTES = 1 << 20
+# Short, since another entry accepts the job at once.
+SHUTDOWN_RETRY_AFTER_S = 1
 
 
 class CallerListener:
-    """Takes jobs from callers and answers them."""
+    """Accepts jobs from callers and responds with their outcomes."""
 
     def __init__(self, *, node: Node) -> None:
         self._node = node
 
     def body_limit(self) -> int:
-        """Return the most bytes that a caller's body may have now."""
+        """Return the current size limit of a caller's request body, in bytes."""
         configuration = self._node.configuration
-        return configuration.max_body_bytes if configuration else UNCONFIGURED_BODY_BYTES
+        return configuration.max_body_bytes if configuration else UNCONFIGURED_MAX_BODY_BYTES
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one call."""
+        """Respond to one request."""
         configuration = await self._node.wait_for_configuration()
         if configuration is None:
-            return _refuse(request, 503, "no configuration yet", UNCONFIGURED_RETRY_S)
+            return _reject(request, 503, "no configuration yet", UNCONFIGURED_RETRY_AFTER_S)
         host = request.headers.get("host", "").partition(":")[0]
         route = configuration.find_route(host=host, path=request.path)
         if route is None:
-            return _refuse(request, 404, "no such queue")
+            return _reject(request, 404, "no such queue")
         job_id = request.path[len(route.prefix) :]
         if request.method == "POST":
             if self._node.refusing:
-                response = _refuse(request, 503, "shutting down", LEAVING_RETRY_S)
+                response = _reject(request, 503, "shutting down", SHUTDOWN_RETRY_AFTER_S)
                 response.close = True
                 return response
             return await self._submit(request, route, job_id)
         if request.method == "GET":
-            return self._show(route, job_id)
+            return self._get_status(route, job_id)
         if request.method == "DELETE":
             cancelled = self._node.pending_jobs.cancel(job_id)
-            return _reply(200, {"state": "cancelled"}) if cancelled else _error(410, "no such job")
-        return _error(405, "method not allowed")
+            return (
+                _make_response(200, {"state": "cancelled"})
+                if cancelled
+                else _make_error(410, "no such job")
+            )
+        return _make_error(405, "method not allowed")
 
     async def _submit(self, request: HttpRequest, route: Route, job_id: str) -> HttpResponse:
         try:
             job = decode_job(request.body, job_id=job_id, route=route)
         except UnsupportedJobError as error:
-            return _refuse(request, 501, str(error))
+            return _reject(request, 501, str(error))
         except BadRequestError as error:
-            return _refuse(request, 400, str(error))
+            return _reject(request, 400, str(error))
         outcome = await self._node.pending_jobs.run(job)
-        response = _answer(outcome)
+        response = _make_outcome_response(outcome)
         response.close = self._node.leaving
         return response
 
-    def _show(self, route: Route, job_id: str) -> HttpResponse:
+    def _get_status(self, route: Route, job_id: str) -> HttpResponse:
         if not job_id:
-            return _reply(200, {"pending": self._node.pending_by_route.get(route.name, 0)})
+            return _make_response(200, {"pending": self._node.pending_by_route.get(route.name, 0)})
         if self._node.pending_jobs.is_pending(job_id):
-            return _reply(200, {"state": "running"})
-        return _error(410, "no such job")
+            return _make_response(200, {"state": "running"})
+        return _make_error(410, "no such job")
 
 
 class ReadyListener:
-    """Tells the balancer whether this entry takes callers."""
+    """Answers the load balancer's readiness check."""
 
     def __init__(self, *, node: Node) -> None:
         self._node = node
         self._was_ready = False
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one call."""
+        """Respond to one request."""
         if request.path != READY_PATH:
-            return _error(404, "no such path")
+            return _make_error(404, "no such path")
         ready = self._node.is_ready()
         if ready != self._was_ready:
             log.info("ready value=%s", ready)
@@ -105,44 +108,44 @@
 
 
 class MetricsListener:
-    """Serves what this entry counts, as text."""
+    """Serves the metrics of this entry in the text format."""
 
     def __init__(self, *, node: Node) -> None:
         self._node = node
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one call."""
+        """Respond to one request."""
         if request.path != METRICS_PATH:
-            return _error(404, "no such path")
+            return _make_error(404, "no such path")
         text = self._node.render_metrics()
         return HttpResponse(body=text.encode(), content_type="text/plain; charset=utf-8")
 
 
-def _answer(outcome: Outcome) -> HttpResponse:
+def _make_outcome_response(outcome: Outcome) -> HttpResponse:
     status = STATUS_BY_VERDICT[outcome.verdict]
     if status == 200:
-        return _reply(200, {"state": outcome.verdict.value})
-    return _error(status, outcome.reason, retry_after_s=outcome.retry_after_s)
+        return _make_response(200, {"state": outcome.verdict.value})
+    return _make_error(status, outcome.reason, retry_after_s=outcome.retry_after_s)
 
 
-def _reply(status: int, body: dict) -> HttpResponse:
+def _make_response(status: int, body: dict) -> HttpResponse:
     return HttpResponse(status=status, body=msgspec.json.encode(body))
 
 
-def _refuse(
+def _reject(
     request: HttpRequest, status: int, reason: str, retry_after_s: float = 0
 ) -> HttpResponse:
-    """Answer a call that goes no further, and log it by the last part of its path, the id."""
+    """Reject a request and log it with the job id, which is the last part of its path."""
     job_id = request.path.rpartition("/")[2]
     log.info('refused job=%s status=%d reason="%s"', job_id, status, reason)
-    return _error(status, reason, retry_after_s=retry_after_s)
+    return _make_error(status, reason, retry_after_s=retry_after_s)
 
 
-def _error(status: int, reason: str, *, retry_after_s: float = 0) -> HttpResponse:
+def _make_error(status: int, reason: str, *, retry_after_s: float = 0) -> HttpResponse:
     body: dict[str, object] = {"error": reason}
     if retry_after_s:
         body["retryAfterMs"] = int(retry_after_s * 1000)
-    response = _reply(status, body)
+    response = _make_response(status, body)
     if retry_after_s:
         response.headers["Retry-After"] = str(math.ceil(retry_after_s))
     return response
--- a/zincwell/platform/_http.py
+++ b/zincwell/platform/_http.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for the many short calls of an owner: two for each task that it starts."""
+"""A small HTTP client for the many short calls of an owner, which makes two for each task."""
 
 from __future__ import annotations
 
@@ -10,44 +10,43 @@
 
 from zincwell.exceptions import ZincwellError
 
-# Idle connections are closed after this many seconds: workers allow 64 each, and one that went
-# silent is then not met again.
-KEEP_ALIVE_S = 15.0
-# How often idle connections are looked at, in seconds.
-LOOK_S = 5.0
-# Most connections to one address; workers allow 64 to all entries together.
-CONNECTIONS_PER_ADDRESS = 12
+# Idle connections are closed after this time: a worker accepts at most 64 connections, and one that
+# broke silently is not reused for long.
+KEEP_ALIVE_TIMEOUT_S = 15.0
+IDLE_CHECK_INTERVAL_S = 5.0
+# A worker accepts at most 64 connections from all entries together.
+MAX_CONNECTIONS_PER_ADDRESS = 12
 
 
 class HttpCallError(ZincwellError):
-    """A call got no answer, or none that can be read; it may have been carried out."""
+    """A call got no response or a malformed one; the server may have processed it."""
 
 
-class HttpAnswer(NamedTuple):
-    """Status and body of an answer."""
+class HttpClientResponse(NamedTuple):
+    """Status and body of a response."""
 
     status: int
     body: bytes
 
 
-class HttpCaller:
-    """Makes HTTP/1.1 calls over connections that are kept, each with one call at a time.
+class HttpClient:
+    """An HTTP/1.1 client with keep-alive connections and one call at a time on each.
 
-    A start of a task costs an owner two calls, and a general client takes five times as long for
-    each. This one knows a request line, a few headers and a body of known length.
+    Each task start costs an owner two calls, and a general-purpose client takes five times as long
+    per call. This client sends only a request line, a few headers and a body of known length.
     """
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._hosts_by_address: dict[str, _Host] = {}
-        self._look = self._loop.call_later(LOOK_S, self._close_old)
+        self._pools_by_address: dict[str, _ConnectionPool] = {}
+        self._idle_check = self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._close_idle)
 
     def close(self) -> None:
         """Close all idle connections."""
-        self._look.cancel()
-        for host in self._hosts_by_address.values():
-            host.close_older_than(0.0, now=self._loop.time())
-        self._hosts_by_address.clear()
+        self._idle_check.cancel()
+        for pool in self._pools_by_address.values():
+            pool.close_idle(0.0, now=self._loop.time())
+        self._pools_by_address.clear()
 
     async def call(
         self,
@@ -58,66 +57,68 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
         timeout_s: float,
-    ) -> HttpAnswer:
-        """Make one call and return its answer.
+    ) -> HttpClientResponse:
+        """Send one request and return the response.
 
-        :raises HttpCallError: if there is none within the time, in seconds.
+        :param address: ``HOST:PORT``.
+        :param timeout_s: limit for the whole call: a free connection, connecting, the response.
+        :raises HttpCallError: if there is no valid response within the time.
         """
-        request = _render(method, address, path, headers or {}, body)
+        request = _encode_request(method, address, path, headers or {}, body)
         deadline = self._loop.time() + timeout_s
-        host = self._hosts_by_address.get(address)
-        if host is None:
-            host = self._hosts_by_address[address] = _Host(address=address)
-        host.calls += 1
+        pool = self._pools_by_address.get(address)
+        if pool is None:
+            pool = self._pools_by_address[address] = _ConnectionPool(address=address)
+        pool.active_calls += 1
         try:
-            await _acquire(host.permits, deadline)
+            await _acquire_permit(pool.permits, deadline)
             try:
-                connection = host.take() or await self._open(address, deadline)
-                answer = await self._exchange(connection, request, deadline)
+                connection = pool.take_idle() or await self._connect(address, deadline)
+                response = await self._exchange(connection, request, deadline)
                 if connection.is_open:
-                    host.give_back(connection, now=self._loop.time())
-                return answer
+                    pool.release_connection(connection, now=self._loop.time())
+                return response
             finally:
-                host.permits.release()
+                pool.permits.release()
         finally:
-            host.calls -= 1
+            pool.active_calls -= 1
 
     async def _exchange(
         self, connection: _Connection, request: bytes, deadline: float
-    ) -> HttpAnswer:
-        answer = connection.send(request)
-        timer = self._loop.call_at(deadline, connection.abort, "no answer in time")
+    ) -> HttpClientResponse:
+        response = connection.send(request)
+        timer = self._loop.call_at(deadline, connection.abort, "timed out waiting for the response")
         try:
-            return await answer
+            return await response
         except asyncio.CancelledError:
-            # Its answer would be taken for that of the next call.
+            # A late response would be read as the response to the next call on this connection.
             connection.abort("cancelled")
             raise
         finally:
             timer.cancel()
 
-    async def _open(self, address: str, deadline: float) -> _Connection:
+    async def _connect(self, address: str, deadline: float) -> _Connection:
         host, _, port = address.rpartition(":")
         try:
             async with asyncio.timeout_at(deadline):
                 _, connection = await self._loop.create_connection(_Connection, host, int(port))
         except TimeoutError:
-            raise HttpCallError("not connected in time") from None
+            raise HttpCallError("timed out connecting") from None
         except (OSError, ValueError) as error:
-            raise HttpCallError(f"not connected: {error!r}") from error
+            raise HttpCallError(f"connection failed: {error!r}") from error
         return connection
 
-    def _close_old(self) -> None:
+    def _close_idle(self) -> None:
         now = self._loop.time()
-        for address, host in list(self._hosts_by_address.items()):
-            host.close_older_than(KEEP_ALIVE_S, now=now)
-            if host.is_unused():
-                # Workers come and go; nobody calls most of their addresses again.
-                del self._hosts_by_address[address]
-        self._look = self._loop.call_later(LOOK_S, self._close_old)
+        for address, pool in list(self._pools_by_address.items()):
+            pool.close_idle(KEEP_ALIVE_TIMEOUT_S, now=now)
+            if pool.is_unused():
+                # Most addresses of workers that left are never called again.
+                del self._pools_by_address[address]
+        self._idle_check = self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._close_idle)
 
 
-async def _acquire(permits: asyncio.Semaphore, deadline: float) -> None:
+async def _acquire_permit(permits: asyncio.Semaphore, deadline: float) -> None:
     if not permits.locked():
         await permits.acquire()
         return
@@ -125,33 +126,33 @@
         async with asyncio.timeout_at(deadline):
             await permits.acquire()
     except TimeoutError:
-        raise HttpCallError("no connection free in time") from None
+        raise HttpCallError("timed out waiting for a free connection") from None
 
 
-class _Host:
-    """The idle connections to an address, and who may open one."""
+class _ConnectionPool:
+    """The idle connections to one address and the limit on open ones."""
 
     def __init__(self, *, address: str) -> None:
         self.address = address
-        self.calls = 0
-        self.permits = asyncio.Semaphore(CONNECTIONS_PER_ADDRESS)
+        self.active_calls = 0
+        self.permits = asyncio.Semaphore(MAX_CONNECTIONS_PER_ADDRESS)
         self._idle: list[_Connection] = []
 
-    def take(self) -> _Connection | None:
-        """Return the idle connection that was used last, so that few are kept; None if none is."""
+    def take_idle(self) -> _Connection | None:
+        """Return the most recently used idle connection, so that few stay open, or None."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open:
                 return connection
         return None
 
-    def give_back(self, connection: _Connection, *, now: float) -> None:
-        """Keep a connection for the next call."""
+    def release_connection(self, connection: _Connection, *, now: float) -> None:
+        """Return a connection to the pool."""
         connection.idle_since = now
         self._idle.append(connection)
 
-    def close_older_than(self, age_s: float, *, now: float) -> None:
-        """Close the connections that have been idle for so long."""
+    def close_idle(self, age_s: float, *, now: float) -> None:
+        """Close the connections that have been idle for ``age_s`` seconds or longer."""
         kept = []
         for connection in self._idle:
             if connection.is_open and now - connection.idle_since < age_s:
@@ -161,87 +162,89 @@
         self._idle = kept
 
     def is_unused(self) -> bool:
-        """Return whether nothing is kept here and nobody calls."""
-        return not self._idle and not self.calls
+        """Return whether there are no idle connections and no calls in progress."""
+        return not self._idle and not self.active_calls
 
 
 class _Connection(asyncio.Protocol):
-    """One connection, with at most one call under way."""
+    """One connection, with at most one call in progress."""
 
     def __init__(self) -> None:
         self.is_open = False
         self.idle_since = 0.0
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: asyncio.Future[HttpAnswer] | None = None
-        self._parts: list[bytes] = []
+        self._response: asyncio.Future[HttpClientResponse] | None = None
+        self._body_parts: list[bytes] = []
 
-    def send(self, request: bytes) -> asyncio.Future[HttpAnswer]:
-        """Send a request; the answer comes by the future."""
-        self._parts.clear()
-        self._answer = asyncio.get_running_loop().create_future()
+    def send(self, request: bytes) -> asyncio.Future[HttpClientResponse]:
+        """Send a request and return a future of its response."""
+        self._body_parts.clear()
+        self._response = asyncio.get_running_loop().create_future()
         self._transport.write(request)
-        return self._answer
+        return self._response
 
     def abort(self, reason: str) -> None:
-        """Close the connection at once; a call under way fails."""
+        """Close the connection at once and fail the call in progress."""
         self.is_open = False
         if self._transport is not None:
             self._transport.abort()
         self._fail(reason)
 
     def _fail(self, reason: str) -> None:
-        answer, self._answer = self._answer, None
-        if answer is not None and not answer.done():
-            answer.set_exception(HttpCallError(reason))
+        response, self._response = self._response, None
+        if response is not None and not response.done():
+            response.set_exception(HttpCallError(reason))
 
-    # -- what the loop calls ----------------------------------------------------------------
+    # -- asyncio.Protocol callbacks ---------------------------------------------------------
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self._transport = transport
         self.is_open = True
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of an answer."""
-        if self._answer is None:
-            # Nothing was asked, so whatever comes here would be taken for the next answer.
+        """Feed received bytes to the parser."""
+        if self._response is None:
+            # No request is in progress; these bytes would be read as part of the next response.
             self.abort("unexpected data")
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self.abort(f"malformed answer: {error}")
+            self.abort(f"malformed response: {error}")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the call under way."""
+        """Fail the call in progress."""
         self.is_open = False
         self._fail(f"connection lost: {exc!r}")
 
-    # -- what the parser calls --------------------------------------------------------------
+    # -- httptools parser callbacks ---------------------------------------------------------
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of a body."""
-        self._parts.append(body)
+        """Append a part of the body."""
+        self._body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the answer over."""
+        """Resolve the future of the call with the response."""
         status = self._parser.get_status_code()
         if status < 200:
-            # An interim answer; the real one follows.
+            # An interim response (1xx); the final one follows.
             return
         if not self._parser.should_keep_alive():
             self.is_open = False
             self._transport.close()
-        answer, self._answer = self._answer, None
-        if answer is not None and not answer.done():
-            answer.set_result(HttpAnswer(status, b"".join(self._parts)))
+        response, self._response = self._response, None
+        if response is not None and not response.done():
+            response.set_result(HttpClientResponse(status, b"".join(self._body_parts)))
 
 
-def _render(method: str, address: str, path: str, headers: Mapping[str, str], body: bytes) -> bytes:
+def _encode_request(
+    method: str, address: str, path: str, headers: Mapping[str, str], body: bytes
+) -> bytes:
     lines = [f"{method} {path} HTTP/1.1", f"Host: {address}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if not all(line.isprintable() for line in lines):
-        # A name from the store with a line break in it would add headers of its own.
-        raise HttpCallError("unprintable character in a header")
+        # Prevents header injection: values such as worker ids come from the store.
+        raise HttpCallError("request line or header contains an unprintable character")
     return "\r\n".join([*lines, "", ""]).encode() + body
--- a/zincwell/platform/_peers.py
+++ b/zincwell/platform/_peers.py
@@ -1,4 +1,4 @@
-"""Messages between entries, by HTTP with JSON."""
+"""HTTP transport between entries: message envelopes and configuration copies, as JSON."""
 
 from __future__ import annotations
 
@@ -10,32 +10,38 @@
 from zincwell.dispatch._messages import Envelope, Receipt
 from zincwell.dispatch._types import Configuration
 from zincwell.dispatch.ports import PeerCallError, PeerClient
-from zincwell.platform._http import HttpCaller, HttpCallError
+from zincwell.platform._http import HttpCallError, HttpClient
 from zincwell.platform._server import HttpRequest, HttpResponse
 
 ENVELOPES_PATH = "/v1/envelopes"
 CONFIGURATION_PATH = "/v1/configuration"
-# Most bytes of an envelope: one with 5,000 jobs has a tenth of it.
-ENVELOPE_BYTES = 64 << 20
+# Ten times the size of an envelope with 5,000 jobs.
+MAX_ENVELOPE_BYTES = 64 << 20
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 T = TypeVar("T")
 
 
 class HttpPeerClient(PeerClient):
-    """Delivers envelopes to other entries."""
+    """Sends envelopes and configuration requests to other entries."""
 
-    def __init__(self, *, http: HttpCaller) -> None:
+    def __init__(self, *, http: HttpClient) -> None:
         self._http = http
 
     async def deliver(self, address: str, envelope: Envelope, *, timeout_s: float) -> Receipt:
-        """Deliver an envelope."""
+        """Send an envelope and return the receipt.
+
+        :raises PeerCallError: if there is no valid response within the time.
+        """
         data = msgspec.json.encode(envelope)
         raw = await self._call("POST", address, ENVELOPES_PATH, timeout_s, data=data)
         return _decode(raw, Receipt)
 
     async def fetch_configuration(self, address: str, *, timeout_s: float) -> Configuration:
-        """Return the document that another entry has in force."""
+        """Return the configuration in force at another entry.
+
+        :raises PeerCallError: if it has none or there is no valid response within the time.
+        """
         raw = await self._call("GET", address, CONFIGURATION_PATH, timeout_s)
         return _decode(raw, Configuration)
 
@@ -43,39 +49,39 @@
         self, method: str, address: str, path: str, timeout_s: float, *, data: bytes = b""
     ) -> bytes:
         try:
-            answer = await self._http.call(
+            response = await self._http.call(
                 method, address, path, body=data, headers=JSON_HEADERS, timeout_s=timeout_s
             )
         except HttpCallError as error:
             raise PeerCallError(f"{path}: {error}") from error
-        if answer.status != 200:
-            raise PeerCallError(f"{path}: status {answer.status}")
-        return answer.body
+        if response.status != 200:
+            raise PeerCallError(f"{path}: status {response.status}")
+        return response.body
 
 
-def _decode(raw: bytes, kind: type[T]) -> T:
+def _decode(raw: bytes, response_type: type[T]) -> T:
     try:
-        return msgspec.json.decode(raw, type=kind)
+        return msgspec.json.decode(raw, type=response_type)
     except msgspec.MsgspecError as error:
-        raise PeerCallError(f"malformed answer: {error}") from error
+        raise PeerCallError(f"malformed response: {error}") from error
 
 
 class PeerListener:
-    """Takes envelopes of other entries, and gives them copies of the configuration."""
+    """Receives envelopes from other entries and serves the configuration to them."""
 
     def __init__(self, *, node: Node) -> None:
         self._node = node
         self._decoder = msgspec.json.Decoder(Envelope)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one call."""
+        """Respond to one request."""
         if request.method == "POST" and request.path == ENVELOPES_PATH:
-            return self._take(request.body)
+            return self._receive_envelope(request.body)
         if request.method == "GET" and request.path == CONFIGURATION_PATH:
-            return self._copy_configuration()
+            return self._send_configuration()
         return HttpResponse(status=404)
 
-    def _take(self, raw: bytes) -> HttpResponse:
+    def _receive_envelope(self, raw: bytes) -> HttpResponse:
         try:
             envelope = self._decoder.decode(raw)
         except msgspec.MsgspecError as error:
@@ -83,7 +89,7 @@
         receipt = self._node.receive(envelope)
         return HttpResponse(body=msgspec.json.encode(receipt))
 
-    def _copy_configuration(self) -> HttpResponse:
+    def _send_configuration(self) -> HttpResponse:
         encoded = self._node.configurations.encode()
         if not encoded:
             body = msgspec.json.encode({"error": "no configuration yet"})
--- a/zincwell/platform/_process.py
+++ b/zincwell/platform/_process.py
@@ -1,4 +1,4 @@
-"""The process of one entry: its parts, its listeners, its signals."""
+"""The process of one entry: start-up, HTTP servers, signal handling, shutdown."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from zincwell.logs import configure_bounded_logging
 from zincwell.loops import new_event_loop
 from zincwell.platform._callers import CallerListener, MetricsListener, ReadyListener
-from zincwell.platform._http import HttpCaller
-from zincwell.platform._peers import ENVELOPE_BYTES, HttpPeerClient, PeerListener
+from zincwell.platform._http import HttpClient
+from zincwell.platform._peers import MAX_ENVELOPE_BYTES, HttpPeerClient, PeerListener
 from zincwell.platform._server import Handler, HttpServer
 from zincwell.platform._settings import PlatformSettings, read_settings
 from zincwell.platform._store import HttpStore
@@ -28,20 +28,20 @@
 
 log = logging.getLogger("zincwell.process")
 
-SETTINGS_VARIABLE = "ZINCWELL_CONFIG"
-DEFAULT_SETTINGS = "/etc/zincwell/local.conf"
-# As the deploy file says; the usual port of metrics in text form.
+SETTINGS_ENV_VAR = "ZINCWELL_CONFIG"
+DEFAULT_SETTINGS_PATH = "/etc/zincwell/local.conf"
+# The deploy file names the same port.
 METRICS_PORT = 9464
-# Answers of open requests are written out before the process ends.
-CLOSE_S = 0.2
+# Time to send the responses of open requests before the process exits.
+RESPONSE_FLUSH_S = 0.2
 
 
 def main() -> int:
     """Run until SIGTERM; return the exit status."""
-    # A crash in a compiled library leaves no Python error; this writes where it happened.
+    # Prints the Python stack if a compiled library crashes, which raises no exception.
     faulthandler.enable()
     configure_bounded_logging(logging.INFO)
-    path = Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS))
+    path = Path(os.environ.get(SETTINGS_ENV_VAR, DEFAULT_SETTINGS_PATH))
     try:
         settings = read_settings(path)
     except SettingsError as error:
@@ -53,12 +53,12 @@
 
 
 async def _serve(settings: PlatformSettings, path: Path) -> None:
-    stop_asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, stop_asked.set)
-    loop.add_signal_handler(signal.SIGINT, stop_asked.set)
-    loop.add_signal_handler(signal.SIGHUP, _reload, path)
-    http = HttpCaller()
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+    loop.add_signal_handler(signal.SIGINT, stop_requested.set)
+    loop.add_signal_handler(signal.SIGHUP, _check_settings, path)
+    http = HttpClient()
     node = _make_node(settings, http)
     log.info(
         "started entry=%s zone=%s incarnation=%s peers=%s",
@@ -70,16 +70,18 @@
     node.open()
     callers = CallerListener(node=node)
     servers = [
-        await _listen(settings.ready, ReadyListener(node=node).handle),
-        await _listen(settings.peers, PeerListener(node=node).handle, lambda: ENVELOPE_BYTES),
-        await _listen(settings.callers, callers.handle, callers.body_limit),
-        await _listen(f"{settings.ip}:{METRICS_PORT}", MetricsListener(node=node).handle),
+        await _start_server(settings.ready, ReadyListener(node=node).handle),
+        await _start_server(
+            settings.peers, PeerListener(node=node).handle, lambda: MAX_ENVELOPE_BYTES
+        ),
+        await _start_server(settings.callers, callers.handle, callers.body_limit),
+        await _start_server(f"{settings.ip}:{METRICS_PORT}", MetricsListener(node=node).handle),
     ]
     gc.collect()
     gc.freeze()
-    await stop_asked.wait()
+    await stop_requested.wait()
     await node.drain()
-    await asyncio.sleep(CLOSE_S)
+    await asyncio.sleep(RESPONSE_FLUSH_S)
     node.close()
     http.close()
     for server in servers:
@@ -87,7 +89,7 @@
     log.info("stopped entry=%s", settings.name)
 
 
-def _make_node(settings: PlatformSettings, http: HttpCaller) -> Node:
+def _make_node(settings: PlatformSettings, http: HttpClient) -> Node:
     me = EntryInfo(
         name=settings.name,
         address=settings.peers_advertised,
@@ -105,7 +107,7 @@
     )
 
 
-async def _listen(
+async def _start_server(
     address: str, handler: Handler, body_limit: Callable[[], int] = lambda: 0
 ) -> HttpServer:
     server = HttpServer(handler=handler, body_limit=body_limit)
@@ -113,8 +115,8 @@
     return server
 
 
-def _reload(path: Path) -> None:
-    """Read the settings again; addresses stay as they are until the next start."""
+def _check_settings(path: Path) -> None:
+    """Check the changed settings file; new values take effect at the next start."""
     try:
         read_settings(path)
     except SettingsError as error:
--- a/zincwell/platform/_server.py
+++ b/zincwell/platform/_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server: one task a connection, whole requests in, whole answers out."""
+"""A small HTTP server without streaming: one asyncio task per connection."""
 
 from __future__ import annotations
 
@@ -17,22 +17,21 @@
 
 log = logging.getLogger("zincwell.http")
 
-# Connections wait for us here while a burst of callers connects.
-BACKLOG = 512
-# Requests that wait on one connection before no more is read from it.
-MAX_WAITING = 16
-# A head with more bytes of names and values than this is refused.
+# Large enough for a burst of callers that connect at once.
+LISTEN_BACKLOG = 512
+# Reading from a connection pauses while more requests than this wait on it.
+MAX_PIPELINED_REQUESTS = 16
+# Limits the request target plus all header names and values.
 MAX_HEAD_BYTES = 32_768
-REFUSALS = {413: "body: too large", 431: "headers: too large"}
-# A connection on which no whole request has come for this many seconds is closed.
-IDLE_S = 75.0
-# How often connections are looked at for that, in seconds.
-LOOK_S = 15.0
+ERROR_BY_STATUS = {413: "body: too large", 431: "headers: too large"}
+# A connection that sends no complete request for longer is closed.
+IDLE_TIMEOUT_S = 75.0
+IDLE_CHECK_INTERVAL_S = 15.0
 
 
 @dataclass(slots=True, kw_only=True)
 class HttpRequest:
-    """A whole request; names of headers are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     path: str
@@ -42,7 +41,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class HttpResponse:
-    """A whole answer; with ``close`` the connection ends after it."""
+    """A complete response; with ``close`` the server closes the connection after it."""
 
     status: int = 200
     body: bytes = b""
@@ -55,54 +54,57 @@
 
 
 class HttpServer:
-    """Answers requests at one address.
+    """Serves requests at one address.
 
-    A general server and client take 14 MB and a quarter of a second of a core to be loaded. That
-    is a third of an entry's memory, and after a restart callers find nobody for as long.
+    Importing a general-purpose HTTP server and client takes 14 MB, which is a third of an entry's
+    memory, and a quarter of a second of a core, during which a restarted entry serves no callers.
 
-    :param handler: answers one request; it is cancelled when the caller's connection ends.
-    :param body_limit: returns the most bytes that a body may have now.
+    :param handler: responds to one request; cancelled when the client closes the connection.
+    :param body_limit: returns the current size limit of a request body, in bytes.
     """
 
     def __init__(self, *, handler: Handler, body_limit: Callable[[], int]) -> None:
         self._handler = handler
         self._body_limit = body_limit
         self._connections: set[_Connection] = set()
-        self._listening: asyncio.AbstractServer | None = None
+        self._listener: asyncio.AbstractServer | None = None
         self._loop = asyncio.get_running_loop()
-        self._look: asyncio.TimerHandle | None = None
+        self._idle_check: asyncio.TimerHandle | None = None
 
     async def listen(self, address: str) -> str:
-        """Begin to answer at an address; return it with the port that was taken."""
+        """Listen at an address and return it with the actual port.
+
+        :param address: ``HOST:PORT``; port 0 lets the system choose one.
+        """
         host, _, port = address.rpartition(":")
-        self._listening = await self._loop.create_server(
-            self._connect, host, int(port), backlog=BACKLOG
+        self._listener = await self._loop.create_server(
+            self._make_connection, host, int(port), backlog=LISTEN_BACKLOG
         )
-        self._look = self._loop.call_later(LOOK_S, self._close_idle)
-        return f"{host}:{self._listening.sockets[0].getsockname()[1]}"
+        self._idle_check = self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._close_idle)
+        return f"{host}:{self._listener.sockets[0].getsockname()[1]}"
 
     def close(self) -> None:
-        """Take no more connections, and end those that are open."""
-        if self._listening is not None:
-            self._listening.close()
-            self._look.cancel()
+        """Stop listening and close the open connections."""
+        if self._listener is not None:
+            self._listener.close()
+            self._idle_check.cancel()
         for connection in list(self._connections):
             connection.close()
 
-    def _connect(self) -> _Connection:
+    def _make_connection(self) -> _Connection:
         return _Connection(
             handler=self._handler, body_limit=self._body_limit, connections=self._connections
         )
 
     def _close_idle(self) -> None:
         for connection in list(self._connections):
-            if connection.idle_s() > IDLE_S:
+            if connection.idle_s() > IDLE_TIMEOUT_S:
                 connection.close()
-        self._look = self._loop.call_later(LOOK_S, self._close_idle)
+        self._idle_check = self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._close_idle)
 
 
 class _Connection(asyncio.Protocol):
-    """One caller's connection; its requests are answered in order."""
+    """One client connection; responses are sent in the order of the requests."""
 
     def __init__(
         self,
@@ -116,183 +118,186 @@
         self._connections = connections
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._waiting: deque[HttpRequest | HttpResponse] = deque()
-        self._wake = asyncio.Event()
+        self._pending: deque[HttpRequest | HttpResponse] = deque()
+        self._wakeup = asyncio.Event()
         self._busy = False
         self._paused = False
-        self._ends = False
+        self._closing = False
         self._loop = asyncio.get_running_loop()
-        self._heard_at = self._loop.time()
+        self._last_activity_at = self._loop.time()
         self._tasks = BackgroundTasks()
-        self._begin()
+        self._reset_request()
 
     def close(self) -> None:
-        """End the connection and whatever it waits for."""
+        """Close the connection and cancel the request in progress."""
         self._tasks.close()
         if self._transport is not None:
             self._transport.close()
 
     def idle_s(self) -> float:
-        """Return for how long no whole request has come; 0 while one is being answered."""
-        return 0.0 if self._busy or self._waiting else self._loop.time() - self._heard_at
+        """Return the seconds since the last activity; 0 while a request is in progress."""
+        return 0.0 if self._busy or self._pending else self._loop.time() - self._last_activity_at
 
-    def _begin(self) -> None:
+    def _reset_request(self) -> None:
         self._url = b""
         self._headers: dict[str, str] = {}
         self._head_bytes = 0
-        self._parts: list[bytes] = []
+        self._body_parts: list[bytes] = []
         self._body_bytes = 0
-        self._refusal: HttpResponse | None = None
+        self._rejection: HttpResponse | None = None
 
-    # -- what the loop calls ----------------------------------------------------------------
+    # -- asyncio.Protocol callbacks ---------------------------------------------------------
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Begin to answer."""
+        """Register the connection and start to process its requests."""
         self._transport = transport
         self._connections.add(self)
-        self._tasks.spawn(self._answer_forever())
+        self._tasks.spawn(self._process_requests())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what the caller waited for."""
+        """Unregister the connection and cancel the request in progress."""
         self._connections.discard(self)
         self._tasks.close()
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of a request."""
+        """Feed received bytes to the parser."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._put(HttpResponse(status=400, close=True))
+            self._enqueue(HttpResponse(status=400, close=True))
         except httptools.HttpParserError as error:
             log.info('request_malformed error="%s"', error)
-            self._put(HttpResponse(status=400, close=True))
+            self._enqueue(HttpResponse(status=400, close=True))
 
-    # -- what the parser calls --------------------------------------------------------------
+    # -- httptools parser callbacks ---------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
-        self._begin()
+        """Reset the state for a new request."""
+        self._reset_request()
 
     def on_url(self, url: bytes) -> None:
-        """Keep a part of the request's target."""
+        """Append a part of the request target."""
         self._url += url
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         self._count_head(len(name) + len(value))
-        if self._refusal is None:
+        if self._rejection is None:
             self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def _count_head(self, size: int) -> None:
         self._head_bytes += size
-        if self._head_bytes > MAX_HEAD_BYTES and self._refusal is None:
-            self._refuse(431)
+        if self._head_bytes > MAX_HEAD_BYTES and self._rejection is None:
+            self._reject(431)
 
     def on_headers_complete(self) -> None:
-        """Refuse a body that is too large before it comes."""
+        """Reject a body that is too large before it is received."""
         length = self._headers.get("content-length", "0")
-        if self._refusal is None and length.isdigit() and int(length) > self._body_limit():
-            self._refuse(413)
-        if self._refusal is None and self._headers.get("expect", "").lower() == "100-continue":
+        if self._rejection is None and length.isdigit() and int(length) > self._body_limit():
+            self._reject(413)
+        if self._rejection is None and self._headers.get("expect", "").lower() == "100-continue":
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of a body."""
+        """Append a part of the body."""
         self._body_bytes += len(body)
-        if self._refusal is not None:
+        if self._rejection is not None:
             return
         if self._body_bytes > self._body_limit():
-            self._refuse(413)
+            self._reject(413)
             return
-        self._parts.append(body)
+        self._body_parts.append(body)
 
-    def _refuse(self, status: int) -> None:
-        """Answer at once; the connection ends when the rest has come and was thrown away.
+    def _reject(self, status: int) -> None:
+        """Send an error response at once; close when the rest was received and discarded.
 
-        Ended before, it would be reset for the bytes that nobody reads, and the answer lost.
+        Closing with unread data would reset the connection and could lose the response.
         """
-        body = msgspec.json.encode({"error": REFUSALS[status]})
-        self._refusal = HttpResponse(status=status, body=body, close=True)
-        self._parts.clear()
-        self._put(self._refusal)
+        body = msgspec.json.encode({"error": ERROR_BY_STATUS[status]})
+        self._rejection = HttpResponse(status=status, body=body, close=True)
+        self._body_parts.clear()
+        self._enqueue(self._rejection)
 
     def on_message_complete(self) -> None:
-        """Let a whole request wait for its answer."""
-        if self._refusal is not None:
-            self._ends = True
-            self._wake.set()
+        """Queue the complete request for the handler."""
+        if self._rejection is not None:
+            self._closing = True
+            self._wakeup.set()
             return
         if not self._parser.should_keep_alive():
             self._headers["connection"] = "close"
         try:
             target = httptools.parse_url(self._url).path or b"/"
         except httptools.HttpParserInvalidURLError:
-            self._put(HttpResponse(status=400, close=True))
+            self._enqueue(HttpResponse(status=400, close=True))
             return
-        self._put(
+        self._enqueue(
             HttpRequest(
                 method=self._parser.get_method().decode("ascii"),
                 path=unquote(target.decode("latin-1")),
                 headers=self._headers,
-                body=b"".join(self._parts),
+                body=b"".join(self._body_parts),
             )
         )
 
-    # -- answering --------------------------------------------------------------------------
+    # -- request processing -----------------------------------------------------------------
 
-    def _put(self, waiting: HttpRequest | HttpResponse) -> None:
-        self._heard_at = self._loop.time()
-        self._waiting.append(waiting)
-        self._wake.set()
-        if len(self._waiting) > MAX_WAITING and not self._paused:
+    def _enqueue(self, item: HttpRequest | HttpResponse) -> None:
+        self._last_activity_at = self._loop.time()
+        self._pending.append(item)
+        self._wakeup.set()
+        if len(self._pending) > MAX_PIPELINED_REQUESTS and not self._paused:
             self._paused = True
             self._transport.pause_reading()
 
-    async def _answer_forever(self) -> None:
+    async def _process_requests(self) -> None:
         while True:
-            await self._wake.wait()
-            self._wake.clear()
-            while self._waiting:
+            await self._wakeup.wait()
+            self._wakeup.clear()
+            while self._pending:
                 self._busy = True
-                self._ends = await self._answer(self._waiting.popleft()) or self._ends
+                self._closing = await self._respond(self._pending.popleft()) or self._closing
                 self._busy = False
-            if self._ends:
+            if self._closing:
                 self._transport.close()
                 return
-            self._heard_at = self._loop.time()
+            self._last_activity_at = self._loop.time()
             if self._paused:
                 self._paused = False
                 self._transport.resume_reading()
 
-    async def _answer(self, waiting: HttpRequest | HttpResponse) -> bool:
-        """Answer one request; return whether the connection ends with it."""
-        if isinstance(waiting, HttpResponse):
-            self._transport.write(_render(waiting))
-            return waiting is not self._refusal
+    async def _respond(self, item: HttpRequest | HttpResponse) -> bool:
+        """Send the response to one request; return whether to close the connection now.
+
+        After a rejection it closes later, once the rest of the rejected request was received.
+        """
+        if isinstance(item, HttpResponse):
+            self._transport.write(_encode_response(item))
+            return item is not self._rejection
         try:
-            response = await self._handler(waiting)
+            response = await self._handler(item)
         except Exception:
-            # A caller whose request meets a fault of ours would wait for its whole deadline.
-            log.exception("request_failed path=%s", waiting.path)
+            # Without a response the client would wait until its timeout.
+            log.exception("request_failed path=%s", item.path)
             response = HttpResponse(status=500)
-        response.close = response.close or waiting.headers.get("connection", "") == "close"
-        self._transport.write(_render(response))
+        response.close = response.close or item.headers.get("connection", "") == "close"
+        self._transport.write(_encode_response(response))
         return response.close
 
 
-def _render(response: HttpResponse) -> bytes:
+def _encode_response(response: HttpResponse) -> bytes:
     lines = [
         f"HTTP/1.1 {response.status} {http.HTTPStatus(response.status).phrase}",
         f"Content-Type: {response.content_type}",
         f"Content-Length: {len(response.body)}",
-        *render_headers(response.headers),
+        *format_headers(response.headers),
     ]
     if response.close:
         lines.append("Connection: close")
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + response.body
 
 
-def render_headers(headers: Mapping[str, str]) -> list[str]:
-    """Return headers as lines."""
+def format_headers(headers: Mapping[str, str]) -> list[str]:
+    """Return headers as ``Name: value`` lines."""
     return [f"{name}: {value}" for name, value in headers.items()]
--- a/zincwell/platform/_settings.py
+++ b/zincwell/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Reads the settings file that the platform writes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,18 @@
 
 
 class PlatformSettings(Struct, frozen=True, kw_only=True):
-    """What a process learns from its settings file.
+    """Values from the settings file.
 
     :param name: name of the VM.
-    :param callers: address for callers.
-    :param ready: address at which the balancer asks whether this entry takes callers.
+    :param zone: failure domain of the VM.
+    :param ip: address on which the metrics are served.
+    :param callers: address at which to listen for callers.
+    :param ready: address at which to listen for the load balancer's readiness check.
     :param peers: address at which to listen for other entries.
-    :param peers_advertised: address under which they reach it, where that is not the same.
+    :param peers_advertised: address at which other entries reach this one; may differ from
+        ``peers``.
     :param store: address of the platform's store.
-    :param cores: processor that the process may use, as a multiple of one core.
+    :param cores: CPU limit of the process, in cores.
     """
 
     name: str
@@ -38,7 +41,8 @@
 def read_settings(path: Path) -> PlatformSettings:
     """Read the settings file; unknown fields are ignored.
 
-    :raises SettingsError: naming the file and the field that is missing or wrong.
+    :raises SettingsError: if the file can't be read, or a field is missing or invalid; the message
+        names the file and the field.
     """
     try:
         text = path.read_text(encoding="utf-8")
--- a/zincwell/platform/_store.py
+++ b/zincwell/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store of records, by HTTP."""
+"""HTTP client of the platform's record store, an append-only log of keyed records."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
     Topic,
 )
 from zincwell.exceptions import DocumentError
-from zincwell.platform._http import HttpCaller, HttpCallError
-from zincwell.platform._wire import check_readable, decode_configuration, decode_worker
+from zincwell.platform._http import HttpCallError, HttpClient
+from zincwell.platform._wire import check_json, decode_configuration, decode_worker
 
 log = logging.getLogger("zincwell.store")
 
 TOPIC_NAMES = {
     Topic.CONFIGURATION: "keyed.op",
     Topic.WORKERS: "keyed.servers",
-    # Fencing tokens are made from offsets in this topic, so it must never be begun anew.
+    # Fencing tokens are derived from offsets in this topic, so it must never be recreated.
     Topic.CLAIMS: "keyed.zincwell",
     Topic.ENTRIES: "keyed.zincwell-entries",
     Topic.LIVENESS: "keyed.zincwell-liveness",
 }
 CONFIGURATION_KEY = "config"
 EVACUATION_PREFIX = "evacuate/"
-# The store answers in 4 ms; when slow, in 50 to 60 times that. A call beyond this is given up on
-# a connection that may be silent.
+# The store responds within 4 ms, or 50 to 60 times that when it is slow. A call that takes longer
+# than this timeout may be on a connection that broke silently.
 CALL_TIMEOUT_S = 0.6
-# A read returns at most this much; the rest comes with the next one.
-READ_KB = 1024
+# Longer results are continued by the next read.
+MAX_READ_KB = 1024
 
-# An answer to a read begins with the end of the log and its first offset, 8 bytes each.
+# A read response starts with the end offset and the first offset of the log, 8 bytes each.
 OFFSETS_BYTES = 16
 
 
 class NewestItem(Struct):
-    """One record of a listing; ``value`` is in base64."""
+    """One record of a ``NewestBody``; ``value`` is base64-encoded."""
 
     key: str
     offset: int
@@ -55,7 +55,7 @@
 
 
 class NewestBody(Struct, rename="camel"):
-    """A page of the newest record of each key."""
+    """One page of the response to ``/v1/log-newest``: the newest record of each key."""
 
     items: list[NewestItem]
     more_pages: bool
@@ -63,15 +63,15 @@
 
 
 class AppendBody(Struct):
-    """Where an append landed."""
+    """Response to an append, with the offset of the record."""
 
     offset: int
 
 
 class HttpStore(Store):
-    """Calls the store at an address."""
+    """Accesses the store at an address, ``HOST:PORT``."""
 
-    def __init__(self, *, address: str, http: HttpCaller) -> None:
+    def __init__(self, *, address: str, http: HttpClient) -> None:
         self._address = address
         self._http = http
         self._decoder = RecordDecoder()
@@ -87,7 +87,8 @@
                 query["after"] = after
             body = await self._call("GET", "/v1/log-newest", query)
             page = _decode(body, NewestBody)
-            # Pages are no snapshot: what came since the first one is read again from its end.
+            # Pages are no consistent snapshot. Reading changes from the end offset of the first
+            # page covers everything that was appended while later pages were read.
             end = page.end if end is None else end
             for item in page.items:
                 value = _decode_base64(item.value)
@@ -97,12 +98,12 @@
                 return StorePage(records=records, end=end)
 
     async def changes(self, topic: Topic, *, start: int, wait_s: float) -> StorePage:
-        """Return records from an offset on, waiting for one for a limited time."""
+        """Return the records from offset ``start`` on, waiting up to ``wait_s`` for the first."""
         query = {
             "topic": TOPIC_NAMES[topic],
             "part": "0",
             "from": str(start),
-            "maxKb": str(READ_KB),
+            "maxKb": str(MAX_READ_KB),
             "waitMs": str(int(wait_s * 1000)),
         }
         body = await self._call("GET", "/v1/log-read", query, wait_s=wait_s)
@@ -129,7 +130,7 @@
         wait_s: float = 0.0,
     ) -> bytes:
         try:
-            answer = await self._http.call(
+            response = await self._http.call(
                 method,
                 self._address,
                 f"{path}?{urlencode(query)}",
@@ -138,46 +139,47 @@
             )
         except HttpCallError as error:
             raise StoreUnavailableError(f"{path}: {error}") from error
-        if answer.status == 412:
+        if response.status == 412:
             raise StoreConflictError(path)
-        if answer.status == 410:
+        if response.status == 410:
             raise RecordsGoneError(path)
-        if answer.status != 200:
-            raise StoreUnavailableError(f"{path}: status {answer.status}")
-        return answer.body
+        if response.status != 200:
+            raise StoreUnavailableError(f"{path}: status {response.status}")
+        return response.body
 
 
-def _decode(body: bytes, kind: type):
+def _decode(body: bytes, response_type: type):
     try:
-        return msgspec.json.decode(body, type=kind, strict=False)
+        return msgspec.json.decode(body, type=response_type, strict=False)
     except msgspec.MsgspecError as error:
-        raise StoreUnavailableError(f"malformed answer: {error}") from error
+        raise StoreUnavailableError(f"malformed response: {error}") from error
 
 
 def _decode_base64(text: str) -> bytes:
     try:
         return base64.b64decode(text, validate=True)
     except ValueError as error:
-        raise StoreUnavailableError(f"malformed answer: {error}") from error
+        raise StoreUnavailableError(f"malformed response: {error}") from error
 
 
 class RecordDecoder:
-    """Turns records of the store into what they say.
+    """Decodes records of the store.
 
-    A record that can't be read, or says nothing that is known, has no value; the others hold. It
-    is logged when its key is first met, not at each of its changes: workers write every second.
+    A malformed record, and one under an unknown key, gets no value; the other records stay valid.
+    A malformed record is logged only the first time for its key, since workers write every second.
     """
 
     def __init__(self) -> None:
-        self._unreadable: set[tuple[Topic, str]] = set()
+        self._logged_keys: set[tuple[Topic, str]] = set()
 
     def parse(self, topic: Topic, start: int, body: bytes) -> StorePage:
-        """Return the records of a read: 16 bytes of offsets, then length, key and value of each.
+        """Parse a read response: 16 bytes of offsets, then length, key and value of each record.
 
-        :raises StoreUnavailableError: if the answer is no such body.
+        :param start: offset of the first record.
+        :raises StoreUnavailableError: if the response has no offsets.
         """
         if len(body) < OFFSETS_BYTES:
-            raise StoreUnavailableError("malformed answer: no offsets")
+            raise StoreUnavailableError("malformed response: offsets missing")
         end, _first = struct.unpack_from(">QQ", body)
         records: list[StoreRecord] = []
         position = OFFSETS_BYTES
@@ -195,13 +197,16 @@
         return StorePage(records=records, end=last, complete=last >= end)
 
     def decode(self, topic: Topic, key: str, offset: int, value: bytes) -> StoreRecord:
-        """Return one record; without a value if it can't be read."""
+        """Decode one record.
+
+        A malformed record has the value None, unless its key alone names an evacuation.
+        """
         try:
             decoded = _decode_value(topic, key, value)
         except DocumentError as error:
-            decoded = _decode_key(topic, key)
-            if (topic, key) not in self._unreadable:
-                self._unreadable.add((topic, key))
+            decoded = _decode_evacuation_key(topic, key)
+            if (topic, key) not in self._logged_keys:
+                self._logged_keys.add((topic, key))
                 log.error('record_unreadable topic=%s key=%s error="%s"', topic.name, key, error)
         return StoreRecord(key=key, offset=offset, value=decoded)
 
@@ -214,24 +219,25 @@
     if topic is Topic.WORKERS:
         return decode_worker(key, value)
     if topic is Topic.CONFIGURATION:
-        return _decode_order(key, value)
+        return _decode_operator_record(key, value)
     return value
 
 
-def _decode_order(key: str, value: bytes) -> Configuration | Evacuation | None:
-    """Return what operators have written under a key, None for what is not known here."""
+def _decode_operator_record(key: str, value: bytes) -> Configuration | Evacuation | None:
+    """Decode a record that operators wrote; None for an unknown key."""
     if key == CONFIGURATION_KEY:
         return decode_configuration(value)
     if key.startswith(EVACUATION_PREFIX):
-        check_readable(value)
-        return _decode_key(Topic.CONFIGURATION, key)
+        check_json(value)
+        return _decode_evacuation_key(Topic.CONFIGURATION, key)
     return None
 
 
-def _decode_key(topic: Topic, key: str) -> Evacuation | None:
-    """Return what a key alone says: which failure domain is evacuated, whatever its record holds.
+def _decode_evacuation_key(topic: Topic, key: str) -> Evacuation | None:
+    """Return the evacuation that a key names, whatever the record holds; None for other keys.
 
-    Work sent to a domain whose evacuation can't be read would run into its shutdown.
+    The key alone counts, since work sent to a domain whose evacuation record is malformed would be
+    lost when the domain shuts down.
     """
     domain = key.removeprefix(EVACUATION_PREFIX)
     if topic is not Topic.CONFIGURATION or not domain or domain == key:
--- a/zincwell/platform/_wire.py
+++ b/zincwell/platform/_wire.py
@@ -1,4 +1,4 @@
-"""Messages as they stand on the wire, and their translation into zincwell's types."""
+"""Message formats of the platform, and their conversion to and from zincwell's types."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from zincwell.exceptions import BadRequestError, DocumentError
 
 JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
-# Jobs beyond these sizes are refused before anything is made of them.
+# Larger jobs are rejected before their tasks are created.
 MAX_TASKS = 10_000
 MAX_STEPS = 1_000
 MAX_SPEC_BYTES = 4_000
 DRAINING = "draining"
 WORKER_STATES = ("ready", DRAINING)
 WORKER_ADDRESS = re.compile(r"[0-9A-Za-z.-]+:[0-9]{1,5}")
-# Capacities beyond this are no numbers of a machine.
-MAX_SIZE = 1e12
-# Runs that waited in vain for the other members of their gang, as the worker calls it.
-ENDED_ALONE = "alone"
+# Larger capacities are implausible for a machine, so the record is malformed.
+MAX_CAPACITY = 1e12
+# Workers report this for a run that waited in vain for the other members of its gang.
+GANG_INCOMPLETE = "alone"
 
 
 class StepBody(Struct, rename="camel"):
     """A step of a caller's job.
 
-    ``near`` and the like are named here by what they hold: ``anti_affinity`` is the most tasks on
-    one worker, ``persistent`` marks tasks without an end.
+    :param anti_affinity: maximum number of tasks of the step on one worker.
+    :param persistent: the tasks run without an end.
     """
 
     count: int
@@ -59,7 +59,8 @@
 class RouteBody(Struct, rename="camel"):
     """A route of the configuration.
 
-    ``slo_ms`` comes on top of the stretched run time; with ``advice``, starts need tickets.
+    :param slo_ms: the latency objective of a job is its run time times ``stretch`` plus this.
+    :param advice: if set, workers accept starts only with a ticket, which is not supported.
     """
 
     name: str
@@ -74,20 +75,23 @@
 
 
 class ServiceBody(Struct, rename="camel"):
-    """A service; ``admission_check`` says that its workers refuse what does not fit."""
+    """A service.
+
+    :param admission_check: its workers refuse runs that exceed their capacity.
+    """
 
     name: str
     admission_check: bool = True
 
 
 class LimitsBody(Struct, rename="camel"):
-    """Sizes of callers' requests."""
+    """Limits on the size of callers' requests."""
 
     max_body_bytes: int = 1 << 20
 
 
 class ConfigurationBody(Struct, rename="camel"):
-    """The operators' document."""
+    """The configuration document that operators write."""
 
     version: int
     routes: list[RouteBody]
@@ -96,7 +100,7 @@
 
 
 class CapacityBody(Struct, rename="camel"):
-    """A worker's room; what is empty is left out."""
+    """Capacity of a worker; fields that are zero are left out."""
 
     cpu: float = 0
     mem_mb: float = 0
@@ -104,7 +108,7 @@
 
 
 class WorkerBody(Struct, rename="camel"):
-    """A worker's entry in the list."""
+    """A worker's record in the store."""
 
     service: str
     addr: str
@@ -115,7 +119,10 @@
 
 
 class WorkerReplyBody(Struct, rename="camel"):
-    """What a worker answers to an order or a hold."""
+    """A worker's response to any call.
+
+    ``running`` and ``ended`` are lists of rows, see :func:`decode_hold`.
+    """
 
     clock_ms: int | None = None
     reason: str = ""
@@ -124,9 +131,10 @@
 
 
 def decode_job(body: bytes, *, job_id: str, route: Route) -> JobRequest:
-    """Return a caller's job.
+    """Decode and validate a caller's job.
 
-    :raises BadRequestError: naming the field that is wrong or not supported.
+    :raises BadRequestError: if a field is invalid; the message names the field.
+    :raises UnsupportedJobError: if the job or its route needs an unsupported feature.
     """
     if not JOB_ID.fullmatch(job_id):
         raise BadRequestError("id: not 16 hexadecimal digits")
@@ -169,7 +177,7 @@
 
 
 class UnsupportedJobError(BadRequestError):
-    """A job asks for something that zincwell does not do."""
+    """A job needs a feature that zincwell does not support."""
 
 
 def _decode_step(number: int, step: StepBody) -> Step:
@@ -194,9 +202,9 @@
 
 
 def decode_configuration(body: bytes) -> Configuration:
-    """Return the operators' document.
+    """Decode the configuration document.
 
-    :raises DocumentError: naming the field that is wrong.
+    :raises DocumentError: if a field is invalid; the message names the field.
     """
     try:
         document = msgspec.json.decode(body, type=ConfigurationBody, strict=False)
@@ -223,8 +231,8 @@
     )
 
 
-def check_readable(body: bytes) -> None:
-    """Check that a record is JSON, whatever it says.
+def check_json(body: bytes) -> None:
+    """Check that a record is JSON, whatever its content.
 
     :raises DocumentError: if it is not.
     """
@@ -235,24 +243,24 @@
 
 
 def decode_worker(worker_id: str, body: bytes) -> WorkerInfo:
-    """Return a worker's entry in the list.
+    """Decode and validate a worker's record.
 
-    Others may write there, too. An entry that does not say all that is needed, in the right types,
-    or calls a state that is not known, names no worker to use: orders would go to who knows whom.
+    Other programs may write to the same topic. A record with a missing field, a wrong type or an
+    unknown state is rejected, since runs would be sent to an address that may be no worker.
 
-    :raises DocumentError: naming the field that is wrong.
+    :raises DocumentError: if a field is invalid; the message names the field.
     """
     try:
         worker = msgspec.json.decode(body, type=WorkerBody)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise DocumentError(str(error)) from error
     if worker.state not in WORKER_STATES:
-        raise DocumentError(f"state: unknown: {worker.state!r}")
+        raise DocumentError(f"state: expected 'ready' or 'draining', got {worker.state!r}")
     if not WORKER_ADDRESS.fullmatch(worker.addr):
-        raise DocumentError(f"addr: not HOST:PORT: {worker.addr!r}")
+        raise DocumentError(f"addr: expected HOST:PORT, got {worker.addr!r}")
     sizes = (worker.capacity.cpu, worker.capacity.mem_mb, worker.capacity.gpu)
-    if not all(0 <= size <= MAX_SIZE for size in sizes):
-        raise DocumentError("capacity: out of range")
+    if not all(0 <= size <= MAX_CAPACITY for size in sizes):
+        raise DocumentError("capacity: cpu, memMb or gpu is negative or too large")
     return WorkerInfo(
         id=worker_id,
         service=worker.service,
@@ -267,18 +275,18 @@
 
 
 def format_task(task: TaskId) -> str:
-    """Return a task's name; the 0 is the occurrence of a job that runs once."""
+    """Return a task's name on the wire; the 0 is the occurrence of a job that runs once."""
     return f"{task.job}.0.{task.step}.{task.index}"
 
 
 def parse_task(name: str) -> TaskId:
-    """Return the task of a name."""
+    """Parse a task's name on the wire."""
     job, _, step, index = name.split(".")
     return TaskId(job, int(step), int(index))
 
 
 def decode_hold(reply: WorkerReplyBody) -> HoldReply:
-    """Return what a worker runs and what ended there."""
+    """Decode a worker's response to a hold call: its active runs and the ended ones."""
     return HoldReply(
         clock_ms=reply.clock_ms or 0,
         running=[
@@ -290,7 +298,7 @@
                 number=int(row[0]),
                 task=parse_task(row[1]),
                 run=int(row[2]),
-                kind=EndKind.BROKEN if row[3] == ENDED_ALONE else EndKind(row[3]),
+                kind=EndKind.BROKEN if row[3] == GANG_INCOMPLETE else EndKind(row[3]),
             )
             for row in reply.ended
         ],
--- a/zincwell/platform/_worker.py
+++ b/zincwell/platform/_worker.py
@@ -1,4 +1,4 @@
-"""Orders to workers, by HTTP."""
+"""HTTP client for workers: starts and stops runs, renews leases."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     WorkerFencedError,
     WorkerReplacedError,
 )
-from zincwell.platform._http import HttpCaller, HttpCallError
+from zincwell.platform._http import HttpCallError, HttpClient
 from zincwell.platform._wire import WorkerReplyBody, decode_hold, format_task
 
-FENCED = "fence"
+FENCED_REASON = "fence"
 STATUS_BY_REASON = {
     "old": StartStatus.SUPERSEDED,
     "late": StartStatus.TOO_LATE,
@@ -28,13 +28,13 @@
 
 
 class HttpWorkerClient(WorkerClient):
-    """Calls workers at their addresses."""
+    """Calls workers over HTTP."""
 
-    def __init__(self, *, http: HttpCaller) -> None:
+    def __init__(self, *, http: HttpClient) -> None:
         self._http = http
 
     async def start(self, worker: WorkerInfo, order: StartOrder, *, timeout_s: float) -> StartReply:
-        """Order a run."""
+        """Ask a worker to start a run."""
         body = {
             "task": format_task(order.task),
             "runId": order.run,
@@ -48,8 +48,8 @@
         if status in (429, 503):
             return StartReply(status=StartStatus.UNHEALTHY, clock_ms=reply.clock_ms)
         if status == 409 and reply.reason in STATUS_BY_REASON:
-            kind = STATUS_BY_REASON[reply.reason]
-            return StartReply(status=kind, clock_ms=reply.clock_ms)
+            start_status = STATUS_BY_REASON[reply.reason]
+            return StartReply(status=start_status, clock_ms=reply.clock_ms)
         if status == 400:
             return StartReply(status=StartStatus.INVALID, clock_ms=reply.clock_ms)
         raise WorkerCallError(f"run-start: status {status} {reply.reason}")
@@ -73,7 +73,12 @@
         wait_s: float,
         timeout_s: float,
     ) -> HoldReply:
-        """Extend the lease of everything on a worker, and learn what runs and what ended."""
+        """Renew the lease of all runs on a worker; return its active runs and the ended ones.
+
+        :param acknowledged: number of the last ended run that this entry has processed.
+        :param deadline_ms: new end of the lease on the worker's clock; None leaves it unchanged.
+        :param wait_s: how long the worker may wait for a run to end before it responds.
+        """
         body = {"fence": fence, "lastSeen": acknowledged}
         if deadline_ms is not None:
             body["deadlineMs"] = deadline_ms
@@ -89,7 +94,7 @@
     ) -> tuple[int, WorkerReplyBody]:
         headers = {"Content-Type": "application/json", "Expect-Instance": worker.id}
         try:
-            answer = await self._http.call(
+            response = await self._http.call(
                 "POST",
                 worker.address,
                 path,
@@ -99,12 +104,12 @@
             )
         except HttpCallError as error:
             raise WorkerCallError(f"{path}: {error}") from error
-        if answer.status == 421:
+        if response.status == 421:
             raise WorkerReplacedError(worker.id)
-        reply = _decode(path, answer.body)
-        if answer.status == 409 and reply.reason == FENCED:
+        reply = _decode(path, response.body)
+        if response.status == 409 and reply.reason == FENCED_REASON:
             raise WorkerFencedError(worker.id)
-        return answer.status, reply
+        return response.status, reply
 
 
 def _decode(path: str, raw: bytes) -> WorkerReplyBody:
@@ -113,4 +118,4 @@
     try:
         return msgspec.json.decode(raw, type=WorkerReplyBody, strict=False)
     except msgspec.MsgspecError as error:
-        raise WorkerCallError(f"{path}: malformed answer: {error}") from error
+        raise WorkerCallError(f"{path}: malformed response: {error}") from error
