--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,20 +18,20 @@
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
-def list_known_red() -> dict[str, str]:
-    """Return the tests that are known to fail, with what is known of each."""
+def read_known_failures() -> dict[str, str]:
+    """Return the ids of the tests that are known to fail, with the reason of each."""
     lines = [line.partition("|") for line in KNOWN_RED.read_text().splitlines() if "|" in line]
     return {test.strip(): reason.strip() for test, _, reason in lines}
 
 
 def pytest_report_header() -> list[str]:
-    """Print the tests that the run passes over if they fail."""
-    return [f"known red: {test}: {reason}" for test, reason in list_known_red().items()]
+    """List the known failures in the report header."""
+    return [f"known red: {test}: {reason}" for test, reason in read_known_failures().items()]
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Pass over just the tests that are listed as known to fail."""
-    reasons = list_known_red()
+    """Mark exactly the listed tests as expected failures."""
+    reasons = read_known_failures()
     for item in items:
         if item.nodeid in reasons:
             item.add_marker(pytest.mark.xfail(reason=reasons[item.nodeid], strict=False))
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 async def cluster(tmp_path: Path) -> AsyncIterator[Cluster]:
-    """A cluster with nothing started yet; all of it is ended after the test."""
+    """A cluster without running processes; it is closed after the test."""
     async with aiohttp.ClientSession() as session:
         cluster = Cluster(folder=tmp_path, session=session)
         try:
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 async def lone(tmp_path: Path) -> AsyncIterator[LoneEntry]:
-    """An entry in this process, whose operators need ``TOKEN``."""
+    """A single entry in the test process; operators authenticate with ``TOKEN``."""
     path = tmp_path / "token.txt"
     path.write_text(TOKEN)
     async with open_lone_entry(operator_token_file=str(path)) as lone:
@@ -74,10 +74,10 @@
 
 @pytest.fixture
 def world(caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
-    """A platform that no test may leave with a broken promise or a failed task.
+    """A simulated platform; the test fails on invariant violations and failed background tasks.
 
-    Time is simulated, also that which forecasts take: a busy machine would make the owner forecast
-    less often, and a load end otherwise than the last time.
+    The time that forecasts take is simulated, too: on a busy machine the owner would forecast less
+    often, and results would not be reproducible.
     """
     monkeypatch.setattr("zincwell.dispatch._owner.perf_counter", lambda: 0.0)
     world = World()
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file and its list of packages agree with the project's own."""
+"""The deploy file and its requirements match the project."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return dict(line.lower().split("==") for line in lines if "==" in line)
 
 
-def test_deployed_packages_are_the_ones_that_are_tested():
+def test_deployed_packages_have_the_tested_versions():
     pins = read_pins(ROOT / "constraints.txt")
     for name, version in read_pins(ROOT / "deploy" / "requirements.txt").items():
         assert_that((name, pins.get(name)), Equals((name, version)))
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The timeline of a job, from the logs of several entries."""
+"""Timeline of a job from the logs of several entries."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return [tmp_path / "a.log", tmp_path / "b.log"]
 
 
-def test_timeline_has_the_job_and_what_was_believed_just_before(logs: list[Path]):
+def test_timeline_has_the_events_of_the_job_and_of_its_context(logs: list[Path]):
     lines = explain_job(JOB, logs)
     events = [line.split("event=")[1].split()[0] for line in lines]
     assert_that(events, Equals(["worker_silent", "job_taken", "run_adopted", "answered"]))
@@ -41,7 +41,7 @@
     assert_that(lines[3], Contains("+300 ms  a.log"))
 
 
-def test_a_job_without_a_line_and_a_missing_file_are_errors(logs: list[Path], tmp_path: Path):
+def test_an_unknown_job_and_a_missing_file_are_errors(logs: list[Path], tmp_path: Path):
     with pytest.raises(LogsError, match="no line is about job ffff"):
         explain_job("ffff", logs)
     with pytest.raises(LogsError, match="none.log: No such file"):
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What the import of an entry's program brings in."""
+"""Modules that the package imports, and its public names."""
 
 from __future__ import annotations
 
@@ -12,10 +12,9 @@
 import zincwell
 
 
-def test_an_entry_does_without_general_http_libraries():
-    # Symptom: after a restart of all VMs nothing is served for 0.4 s longer than the VMs are down,
-    # and each entry holds 14 MB more. Sequence: each entry imports the package. Cause: the package
-    # imports its client for callers, and with it general libraries for HTTP.
+def test_an_entry_imports_no_general_purpose_http_libraries():
+    # The client for callers needs general-purpose HTTP libraries. If the package imported it, each
+    # entry would use 14 MB more, and a restart of all VMs would interrupt service for 0.4 s longer.
     program = (
         "import sys\n"
         "import zincwell.platform.__main__\n"
@@ -28,9 +27,9 @@
 
 
 @pytest.mark.parametrize("name", zincwell.__all__)
-def test_public_names_are_there(name: str):
+def test_public_names_are_importable(name: str):
     assert_that(getattr(zincwell, name).__module__.split(".")[0], Equals("zincwell"))
 
 
-def test_other_names_are_not():
+def test_an_unknown_name_raises():
     assert_that(lambda: zincwell.no_such_name, Raises())
--- a/zincwell/exceptions.py
+++ b/zincwell/exceptions.py
@@ -1,75 +1,75 @@
-"""The exception tree of zincwell, rooted in :class:`ZincwellError`.
+"""Exceptions of zincwell, all derived from :class:`ZincwellError`.
 
-Each layer raises its own branch and turns what it gets from the layer below into it.
+Each layer raises its own subclasses and converts the exceptions of the layer below to them.
 """
 
 
 class ZincwellError(Exception):
-    """Base of every error that zincwell raises."""
+    """Base class of all exceptions that zincwell raises."""
 
 
 class SettingsError(ZincwellError):
-    """A settings file is missing, malformed or has a value that is not allowed."""
+    """A settings file is missing, malformed or contains an invalid value."""
 
 
 class DocumentError(ZincwellError):
-    """A configuration document is not valid; the message names the field."""
+    """A document is malformed or invalid; the message names the field."""
 
 
 class BadRequestError(ZincwellError):
-    """A caller's message is malformed; the message names the field."""
+    """A caller's request is malformed; the message names the field."""
 
 
 class ClientError(ZincwellError):
-    """No entry could be reached, or what it answered makes no sense."""
+    """No entry could be reached, or its response is malformed."""
 
 
 class NotSentError(ClientError):
-    """No connection to the entry could be opened, so nothing was sent."""
+    """Connecting to the entry failed, so nothing was sent."""
 
 
 class AdminError(ZincwellError):
-    """An entry's listener for operators refused a call or did not answer."""
+    """An entry's listener for operators rejected a call or did not respond."""
 
 
 class OpenChangeError(AdminError):
-    """A change was sent and its verdict is not known; it may have taken effect."""
+    """A change was sent but its outcome is unknown; it may have taken effect."""
 
 
 class PlatformError(ZincwellError):
-    """The platform did not serve a call (base of the two below)."""
+    """A call to the platform failed (base class)."""
 
 
 class LogUnavailableError(PlatformError):
-    """The log did not answer. An append may have taken effect all the same."""
+    """The log did not respond; an append may still have taken effect."""
 
 
 class RecordsExpiredError(PlatformError):
-    """The log no longer keeps the records asked for.
+    """The log no longer has the requested records.
 
-    :param first: offset of the oldest record that it still keeps.
+    :param first: offset of the oldest record that it still has.
     """
 
     def __init__(self, *, first: int):
-        super().__init__(f"records before offset {first} are no longer kept")
+        super().__init__(f"records before offset {first} are no longer available")
         self.first = first
 
 
 class DirectoryUnavailableError(PlatformError):
-    """The list of VMs did not answer."""
+    """The directory of VMs did not respond."""
 
 
 class WorkerError(ZincwellError):
-    """Base of what can go wrong between an entry and a worker."""
+    """A call from an entry to a worker failed (base class)."""
 
 
 class WorkerUnreachableError(WorkerError):
-    """No connection to the worker could be opened, so nothing was sent."""
+    """Connecting to the worker failed, so nothing was sent."""
 
 
 class WorkerConnectionError(WorkerError):
-    """The connection broke or went silent after bytes may have left."""
+    """The connection broke or timed out after data may have been sent."""
 
 
 class PeerUnavailableError(ZincwellError):
-    """A peer entry did not answer in time."""
+    """A peer entry did not respond in time."""
--- a/zincwell/explain.py
+++ b/zincwell/explain.py
@@ -1,4 +1,4 @@
-"""Tell what became of a job, from the logs of all entries."""
+"""Reconstructs the timeline of a job from the logs of all entries."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 
 from zincwell.exceptions import ZincwellError
 
-TIME = re.compile(r"\btime=(\d+\.\d+)")
-# Lines of any job that may explain a wait or a second run of this one.
-BELIEFS = re.compile(
+TIMESTAMP = re.compile(r"\btime=(\d+\.\d+)")
+# Events not tied to one job that may explain a delay or a second run of this one.
+CONTEXT_EVENTS = re.compile(
     r"event=(owner_followed|owner_elected|owner_leaving|stepped_down|worker_silent|worker_back"
     r"|worker_replaced|worker_set_aside|lease_lapsed|store_lost|store_regained|lines_dropped"
     r"|task_failed|draining)\b"
 )
-# Beliefs from this many seconds before the job's first line are shown: a lease lasts 1 s and a
-# take-over less.
-BEFORE_S = 2.0
+# Context events are included from this long before the job's first line, since a lease lasts 1 s
+# and an owner failover takes less.
+CONTEXT_BEFORE_S = 2.0
 
 
 class LogsError(ZincwellError):
-    """A log can't be read, or tells nothing of the job."""
+    """A log file can't be read, or no log line is about the job."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Line:
+class LogLine:
     """One line of a log.
 
-    :param source: name of the file that it stands in.
+    :param source: name of the log file.
     :param at: seconds since 1970.
+    :param text: the line without its time stamp.
     """
 
     source: str
@@ -39,8 +40,10 @@
 
 
 def explain_job(job: str, paths: Iterable[Path]) -> list[str]:
-    """Return the timeline of a job: its lines, and what was believed meanwhile.
+    """Return the timeline of a job: its own log lines and the context events around them.
 
+    :param job: id of the job.
+    :param paths: log files of the entries, in any order.
     :raises LogsError: if a file can't be read or no line is about the job.
     """
     lines = sorted((line for path in paths for line in _read_lines(path)), key=lambda line: line.at)
@@ -48,26 +51,30 @@
     if not own:
         raise LogsError(f"no line is about job {job}")
     first, last = own[0].at, own[-1].at
-    shown = [line for line in lines if line in own or _is_belief(line, first - BEFORE_S, last)]
+    shown = [
+        line
+        for line in lines
+        if line in own or _is_context_event(line, first - CONTEXT_BEFORE_S, last)
+    ]
     return [_format(line, first) for line in shown]
 
 
-def _read_lines(path: Path) -> list[Line]:
+def _read_lines(path: Path) -> list[LogLine]:
     try:
         text = path.read_text(encoding="utf-8", errors="replace")
     except OSError as error:
         raise LogsError(f"{path}: {error.strerror}") from error
-    found = ((TIME.search(row), row) for row in text.splitlines())
+    found = ((TIMESTAMP.search(row), row) for row in text.splitlines())
     return [
-        Line(source=path.name, at=float(time.group(1)), text=row[time.end() :].strip())
+        LogLine(source=path.name, at=float(time.group(1)), text=row[time.end() :].strip())
         for time, row in found
         if time is not None
     ]
 
 
-def _is_belief(line: Line, start: float, end: float) -> bool:
-    return start <= line.at <= end and BELIEFS.search(line.text) is not None
+def _is_context_event(line: LogLine, start: float, end: float) -> bool:
+    return start <= line.at <= end and CONTEXT_EVENTS.search(line.text) is not None
 
 
-def _format(line: Line, first: float) -> str:
+def _format(line: LogLine, first: float) -> str:
     return f"{(line.at - first) * 1000:+9.0f} ms  {line.source}  {line.text}"
--- a/zincwell/logs.py
+++ b/zincwell/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event."""
+"""Logging set-up: one line of key=value pairs for each event."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from pythonjsonlogger.core import BaseJsonFormatter
 
 FIELDS = ["asctime", "levelname", "name", "message"]
-RENAMED = {"asctime": "time", "levelname": "level", "name": "logger", "message": "event"}
+FIELD_NAMES = {"asctime": "time", "levelname": "level", "name": "logger", "message": "event"}
 
 
 class KeyValueFormatter(BaseJsonFormatter):
-    """Renders the fields that python-json-logger collects as key=value pairs."""
+    """Formats the fields that python-json-logger collects as key=value pairs."""
 
     default_msec_format = "%s.%03d"
 
     def __init__(self) -> None:
-        super().__init__(FIELDS, rename_fields=RENAMED)
+        super().__init__(FIELDS, rename_fields=FIELD_NAMES)
 
     def jsonify_log_record(self, log_data: dict[str, Any]) -> str:
-        """Return one line; values with spaces, quotes or line breaks are quoted."""
+        """Return the line of one event; values are quoted as needed, see :func:`format_value`."""
         return " ".join(f"{key}={format_value(value)}" for key, value in log_data.items())
 
 
 def format_value(value: object) -> str:
-    """Return a value as it stands in a line of key=value pairs."""
+    """Return a value as text, in double quotes if it is empty or has spaces, quotes or an ``=``."""
     if isinstance(value, bool) or value is None:
         return str(value).lower()
     text = str(value)
@@ -40,9 +40,10 @@
 
 
 def configure_logging(level: str, *, stream: TextIO | None = None) -> None:
-    """Send zincwell's events to a stream, standard error unless given.
+    """Write zincwell's log events to a stream.
 
     :param level: debug, info, warning or error.
+    :param stream: standard error by default.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(KeyValueFormatter())
@@ -52,19 +53,21 @@
     root.propagate = False
 
 
-# A busy owner of 70 jobs a second writes some 300 lines a second; more than this is dropped.
+# An owner under a load of 70 jobs/s writes about 300 lines/s. Lines above the limit are dropped.
 MAX_LINES_PER_S = 1_000
-STANDARD_OUTPUT = 1
+STDOUT_DESCRIPTOR = 1
 
 
-class BoundedHandler(logging.Handler):
-    """Writes lines to standard output without ever waiting for whoever reads them.
+class NonBlockingHandler(logging.Handler):
+    """Writes lines to a file descriptor without blocking, up to a limit per second.
 
-    A reader that stops reading would stop the process at the next line. Lines that can't be
-    written at once, or beyond a number each second, are dropped, and a line tells how many.
+    With blocking writes, a reader that stops reading would stall the process. Lines that can't be
+    written at once or exceed the limit are dropped; a ``lines_dropped`` event reports their count.
+
+    :param descriptor: standard output by default; it is made non-blocking.
     """
 
-    def __init__(self, *, descriptor: int = STANDARD_OUTPUT) -> None:
+    def __init__(self, *, descriptor: int = STDOUT_DESCRIPTOR) -> None:
         super().__init__()
         self._descriptor = descriptor
         self._second = 0
@@ -73,7 +76,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, or count it as dropped."""
+        """Write one line or count it as dropped."""
         second = int(time.monotonic())
         if second != self._second:
             self._second, self._lines = second, 0
@@ -90,13 +93,16 @@
         try:
             os.write(self._descriptor, line.encode() + b"\n")
         except OSError:
-            # Nobody reads, or not fast enough; the next line that passes tells the count.
+            # The pipe is full or closed; the next ``lines_dropped`` event reports the count.
             self._dropped += 1
 
 
 def configure_bounded_logging(level: int) -> None:
-    """Send zincwell's events to standard output; messages begin with the event's name."""
-    handler = BoundedHandler()
+    """Write zincwell's log events to standard output without blocking.
+
+    :param level: numeric level of :mod:`logging`.
+    """
+    handler = NonBlockingHandler()
     handler.setFormatter(
         logging.Formatter(
             "time=%(created).3f level=%(levelname)s logger=%(name)s event=%(message)s"
