--- a/zincwell/dispatch/_background.py
+++ b/zincwell/dispatch/_background.py
@@ -1,4 +1,4 @@
-"""Background tasks whose errors are not lost."""
+"""Background tasks with error logging."""
 
 from __future__ import annotations
 
@@ -11,27 +11,26 @@
 
 
 class BackgroundTasks:
-    """Background tasks of one object, ended together.
+    """Group of background tasks that are cancelled together.
 
-    An error in a task that nobody awaits would show only as something that no longer happens;
-    here it is logged with its traceback at once.
+    Exceptions of these tasks are logged with a traceback at once, since nothing awaits the tasks.
     """
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task] = set()
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Start a task."""
+        """Start a task that runs a coroutine."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._on_task_done)
 
     def close(self) -> None:
         """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
 
-    def _note_end(self, task: asyncio.Task) -> None:
+    def _on_task_done(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error("task_failed task=%s", task.get_coro(), exc_info=task.exception())
--- a/zincwell/dispatch/_job_registry.py
+++ b/zincwell/dispatch/_job_registry.py
@@ -1,4 +1,4 @@
-"""The open jobs of an owner, who waits for them, and the answers of those that ended lately."""
+"""The open jobs of an owner and the answers to recently ended ones."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 
 log = logging.getLogger("zincwell.owner")
 
-# Coming back is worth a try after this many seconds.
+# Retry delay that refused callers are given by default.
 RETRY_AFTER_S = 1.0
 
 
 class JobRegistry:
-    """Opens and ends jobs, and tells the entries that wait for them.
+    """Opens and ends jobs and reports the outcomes to the waiting entries.
 
-    :param on_ended: called with each job that has ended, to stop what still runs of it.
-    :param answer: called with a job's id, the entries that wait for it, and its outcome.
+    :param on_ended: called with each ended job, to stop its remaining runs.
+    :param answer: called with a job's id, the names of the entries that wait for it, and its
+        outcome.
     """
 
     def __init__(
@@ -40,7 +41,11 @@
     def open(
         self, request: JobRequest, *, entry: str, age_s: float, possibly_started: bool
     ) -> Job | None:
-        """Return a new job, or None if it is open or was answered: then one more entry waits."""
+        """Open a job and return it.
+
+        Return None if the job is open already, so that the entry waits as well, or if it was
+        answered, so that the entry gets the cached answer.
+        """
         answer = self._answers.get(request.id)
         if answer is not None:
             log.info("answered_again job=%s entry=%s verdict=%s", request.id, entry, answer.verdict)
@@ -48,8 +53,8 @@
             return None
         job = self.jobs_by_id.get(request.id)
         if job is not None:
-            log.info("attached job=%s entry=%s", request.id, entry)
-            job.waiting_for.add(entry)
+            log.info("job_attached job=%s entry=%s", request.id, entry)
+            job.waiting_entries.add(entry)
             return None
         now = self._loop.time()
         job = Job(
@@ -58,14 +63,14 @@
             possibly_started=possibly_started,
             accepted_at=now,
         )
-        job.waiting_for.add(entry)
+        job.waiting_entries.add(entry)
         self.jobs_by_id[request.id] = job
         return job
 
     def end(self, job: Job, outcome: Outcome, *, remember: bool = True) -> None:
-        """Answer a job.
+        """End a job and report its outcome.
 
-        :param remember: give the same answer to resends.
+        :param remember: cache the outcome for resubmissions.
         """
         del self.jobs_by_id[job.request.id]
         self._on_ended(job)
@@ -81,39 +86,39 @@
             (self._loop.time() - job.arrived_at) * 1000,
             job.slo_s * 1000,
         )
-        if job.waiting_for:
-            self._answer(job.request.id, job.waiting_for, outcome)
+        if job.waiting_entries:
+            self._answer(job.request.id, job.waiting_entries, outcome)
 
     def refuse(self, job: Job, reason: str, *, retry_after_s: float = RETRY_AFTER_S) -> None:
-        """Answer a job that this owner has not started, with a time to come back."""
+        """End a job that this owner has not started, with a retry delay."""
         verdict = Verdict.UNKNOWN if job.possibly_started else Verdict.REFUSED
         outcome = Outcome(verdict=verdict, reason=reason, retry_after_s=retry_after_s)
         self.end(job, outcome, remember=False)
 
     def cancel(self, job_id: str, *, entry: str) -> None:
-        """Let an entry no longer wait for a job; with nobody left the job ends."""
+        """Remove an entry from those that wait for a job, and end the job if none is left."""
         job = self.jobs_by_id.get(job_id)
         if job is None:
             return
-        job.waiting_for.discard(entry)
-        if not job.waiting_for:
+        job.waiting_entries.discard(entry)
+        if not job.waiting_entries:
             log.info("job_cancelled job=%s started=%s", job_id, job.started)
             self.end(job, Outcome(verdict=Verdict.CANCELLED), remember=False)
 
     def drop_jobs_of(self, entries: set[str], *, reason: str) -> None:
-        """End the jobs that only these entries wait for, which are cut off or lost.
+        """End the jobs that only these unreachable or lost entries wait for.
 
-        Their callers turn to the other side of the partition: through the entry, which hands them
-        to a stand-in, or by themselves. If they have not, the entry learns once it is back that
-        the jobs have ended.
+        The callers' jobs reach the other side of a partition, either through their entry, which
+        submits them to a stand-in, or by resubmission. An entry that still waits for a job is told
+        its end when the partition has healed.
         """
         outcome = Outcome(verdict=Verdict.UNKNOWN, reason=reason, retry_after_s=RETRY_AFTER_S)
         for job in list(self.jobs_by_id.values()):
-            if job.waiting_for <= entries:
+            if job.waiting_entries <= entries:
                 self.end(job, outcome, remember=False)
 
     def pending_by_route(self) -> dict[str, int]:
-        """Return by route how many jobs have no task started."""
+        """Return the number of jobs without a started task, by route."""
         counts: dict[str, int] = {}
         for job in self.jobs_by_id.values():
             if not job.started:
--- a/zincwell/dispatch/_jobs.py
+++ b/zincwell/dispatch/_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs, tasks and runs as the owner of the pool knows them."""
+"""State of jobs and tasks at the owner, and cached answers."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from zincwell.dispatch._types import JobRequest, Outcome, Step, TaskId
 
-# Resends come 1.3 s after a caller saw no answer; an answer is kept for several of them.
-ANSWER_KEPT_S = 6.0
-ANSWERS_KEPT = 20_000
+# Callers without an answer resubmit after 1.3 s. An answer is kept for several resubmissions.
+ANSWER_TTL_S = 6.0
+MAX_CACHED_ANSWERS = 20_000
 
 
 class TaskState(enum.Enum):
-    """Where a task stands."""
+    """Scheduling state of a task."""
 
     WAITING = enum.auto()
     RUNNING = enum.auto()
@@ -23,7 +23,13 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Task:
-    """One task of a job."""
+    """One task of a job.
+
+    :param failures: number of failed runs.
+    :param runs: number of runs that this owner has ordered.
+    :param moves: how often the task was moved away from a slow worker.
+    :param avoided_workers: ids of workers that are chosen only if no other fits.
+    """
 
     id: TaskId
     state: TaskState = TaskState.WAITING
@@ -35,25 +41,30 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Job:
-    """A job in work.
-
-    :param arrived_at: when its caller's request came, on this entry's clock.
-    :param waiting_for: names of the entries whose callers wait for it.
-    :param possibly_started: an earlier owner may have started tasks of it.
-    :param accepted_at: when this owner got it, on this entry's clock.
-    :param queued_in: the list of the queue in which it waits, or None.
-    :param fits_workers_of: version of the owner's workers that were found large enough for it.
-    :param min_run_s_by_step: shortest time that a task of a step took, for steps with one that is
-        done.
+    """An open job.
+
+    :param arrived_at: when the caller's request arrived, on this entry's clock.
+    :param possibly_started: whether a previous owner may have started tasks of it.
+    :param accepted_at: when this owner received it, on this entry's clock.
+    :param waiting_entries: names of the entries whose callers wait for the outcome.
+    :param unfinished_by_step: number of tasks of each step that are not done.
+    :param waiting: number of tasks that wait for a run.
+    :param started: whether any task was ever started.
+    :param estimate_s: estimated run time of its critical path.
+    :param slo_s: age up to which an answer counts as in time.
+    :param smallest_cpu: smallest CPU demand of its steps, in millicores.
+    :param queued_in: list of the queue that holds it, or None.
+    :param fit_checked_version: version of the worker set that it was last checked against.
+    :param min_run_s_by_step: shortest run time of a done task, for each step that has one.
     """
 
     request: JobRequest
     arrived_at: float
     possibly_started: bool
     accepted_at: float
-    waiting_for: set[str] = field(default_factory=set)
+    waiting_entries: set[str] = field(default_factory=set)
     tasks: list[list[Task]] = field(default_factory=list)
-    left: list[int] = field(default_factory=list)
+    unfinished_by_step: list[int] = field(default_factory=list)
     waiting: int = 0
     started: bool = False
     cancelled: bool = False
@@ -61,87 +72,88 @@
     slo_s: float = 0.0
     smallest_cpu: int = 0
     queued_in: list[Job] | None = None
-    fits_workers_of: int = -1
+    fit_checked_version: int = -1
     min_run_s_by_step: dict[int, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Make the tasks of all steps."""
+        """Create the tasks of all steps."""
         for number, step in enumerate(self.request.steps):
             ids = (TaskId(self.request.id, number, index) for index in range(step.count))
             self.tasks.append([Task(id=task_id) for task_id in ids])
-            self.left.append(step.count)
-        self.waiting = sum(self.left)
+            self.unfinished_by_step.append(step.count)
+        self.waiting = sum(self.unfinished_by_step)
         self.estimate_s = self.request.critical_path_ms() / 1000
         self.slo_s = self.request.slo_s()
         self.smallest_cpu = min(step.cpu for step in self.request.steps)
 
     def task(self, task_id: TaskId) -> Task | None:
-        """Return a task by its id, or None if the job has no such task."""
+        """Return the task with an id, or None if the job has no such task."""
         if task_id.step >= len(self.tasks) or task_id.index >= len(self.tasks[task_id.step]):
             return None
         return self.tasks[task_id.step][task_id.index]
 
     def ready_steps(self) -> list[tuple[int, Step]]:
-        """Return the steps with work left whose earlier steps are all done."""
+        """Return number and step of each unfinished step whose predecessors are all done."""
         return [
             (number, step)
             for number, step in enumerate(self.request.steps)
-            if self.left[number] and not any(self.left[earlier] for earlier in step.after)
+            if self.unfinished_by_step[number]
+            and not any(self.unfinished_by_step[earlier] for earlier in step.after)
         ]
 
     def mark_running(self, task: Task) -> None:
-        """Note that a run of the task was ordered or found."""
+        """Mark a task as running, after a run was ordered or found."""
         if task.state is TaskState.WAITING:
             self.waiting -= 1
         task.state = TaskState.RUNNING
         self.started = True
 
     def mark_waiting(self, task: Task) -> None:
-        """Put a task back whose run ended without a result."""
+        """Mark a task as waiting again, after its run ended without a result."""
         if task.state is TaskState.RUNNING:
             task.state = TaskState.WAITING
             self.waiting += 1
 
     def mark_done(self, task: Task) -> None:
-        """Note that the task is done."""
+        """Mark a task as done."""
         if task.state is TaskState.DONE:
             return
         if task.state is TaskState.WAITING:
             self.waiting -= 1
         task.state = TaskState.DONE
         self.started = True
-        self.left[task.id.step] -= 1
+        self.unfinished_by_step[task.id.step] -= 1
 
     def waiting_work(self) -> float:
-        """Return the estimated work of the tasks that wait, in core-seconds times a thousand."""
+        """Return the estimated work of the waiting tasks, in millicore-seconds."""
         return self.request.work() * self.waiting / sum(step.count for step in self.request.steps)
 
     def is_complete(self) -> bool:
         """Return whether all tasks are done."""
-        return not any(self.left)
+        return not any(self.unfinished_by_step)
 
 
 class AnswerCache:
-    """Answers of ended jobs, for resends of requests that were answered already.
+    """Cache of the answers to ended jobs.
 
-    A resend that comes seconds after the answer would run everything again; it gets the same
-    answer instead.
+    A request that is resubmitted after its answer gets the same answer again. Without the cache
+    all its tasks would run a second time.
     """
 
     def __init__(self) -> None:
         self._by_id: OrderedDict[str, tuple[float, Outcome]] = OrderedDict()
 
     def put(self, job_id: str, outcome: Outcome, *, now: float) -> None:
-        """Remember an answer and forget old ones."""
+        """Add an answer and evict old ones."""
         self._by_id[job_id] = (now, outcome)
         self._by_id.move_to_end(job_id)
         while self._by_id:
             at, _ = next(iter(self._by_id.values()))
-            if now - at < ANSWER_KEPT_S and len(self._by_id) <= ANSWERS_KEPT:
+            if now - at < ANSWER_TTL_S and len(self._by_id) <= MAX_CACHED_ANSWERS:
                 return
             self._by_id.popitem(last=False)
 
     def get(self, job_id: str) -> Outcome | None:
-        """Return the answer of a job that ended a short while ago."""
+        """Return the cached answer to a job, or None."""
         entry = self._by_id.get(job_id)
         return entry[1] if entry else None
--- a/zincwell/dispatch/_known_workers.py
+++ b/zincwell/dispatch/_known_workers.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers, and those that have just lapsed in it."""
+"""The platform's worker list and the workers whose entries have recently expired."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 from zincwell.dispatch._types import WorkerInfo
 
-# Workers that lapsed in the list, as they do while the store is away, are back in it about two
-# seconds after the store is; a new owner still asks those that lapsed within this many seconds.
-LAPSED_S = 5.0
+# A new owner also probes workers whose list entries expired within this time. While the store is
+# unavailable entries expire although the workers are alive, and they return about two seconds after
+# the store does.
+LAPSED_RETENTION_S = 5.0
 
 
 class KnownWorkers:
-    """What is known of the workers, whether or not this entry is owner."""
+    """Tracks listed and recently expired workers, whether or not this entry is the owner."""
 
     def __init__(self) -> None:
         self.listed_by_id: dict[str, WorkerInfo] = {}
@@ -20,7 +21,7 @@
         self._loop = asyncio.get_running_loop()
 
     def update(self, listed: dict[str, WorkerInfo]) -> None:
-        """Follow the list."""
+        """Replace the list and note the workers that have left it."""
         now = self._loop.time()
         for worker_id in self.listed_by_id.keys() - listed.keys():
             self._lapsed_by_id[worker_id] = (self.listed_by_id[worker_id], now)
@@ -28,14 +29,14 @@
         self._lapsed_by_id = {
             worker_id: (info, at)
             for worker_id, (info, at) in self._lapsed_by_id.items()
-            if worker_id not in listed and now - at < LAPSED_S
+            if worker_id not in listed and now - at < LAPSED_RETENTION_S
         }
 
     def recently_lapsed(self) -> list[WorkerInfo]:
-        """Return workers that have left the list without a word and may be at work all the same."""
+        """Return workers that left the list without draining and may still be running tasks."""
         now = self._loop.time()
         return [
             info
             for info, at in self._lapsed_by_id.values()
-            if now - at < LAPSED_S and not info.draining
+            if now - at < LAPSED_RETENTION_S and not info.draining
         ]
--- a/zincwell/dispatch/_owner.py
+++ b/zincwell/dispatch/_owner.py
@@ -1,4 +1,4 @@
-"""The owner of a cell: takes jobs in, places their tasks, and tells how they ended."""
+"""The owner of a cell: accepts jobs, schedules their tasks and reports the outcomes."""
 
 from __future__ import annotations
 
@@ -31,29 +31,29 @@
 
 log = logging.getLogger("zincwell.owner")
 
-# Run numbers of one owner for one task; the fencing token, which rises, makes up the rest.
+# Run numbers available to one owner for one task. The owner's fencing token supplies the high-order
+# part, so run numbers increase from one owner to the next.
 RUNS_PER_FENCE = 64
-# Entries hand their jobs over within some 10 ms of the new owner's first heartbeat. What belongs
-# to no job after this many seconds is stopped. A partitioned owner counts its runs as lapsed
-# 1.3 s after its last renewal at the earliest, so this must stay well below.
+# Orphaned runs that no job claims within this time are stopped. Entries resubmit their jobs within
+# about 10 ms of a new owner's first heartbeat. The value must stay well below 1.3 s, the earliest
+# time after its last lease renewal at which a partitioned owner counts its runs as expired.
 ORPHAN_GRACE_S = 0.3
-# A new owner that is also an heir to workers it can't reach waits until every lease there must
-# have lapsed before it starts tasks that may run there.
-SETTLE_MARGIN_S = 0.05
-# A new owner starts nothing for this many seconds, unless all its workers have shown earlier what
-# they run. A job that a caller has sent again looks like any other, and its runs, which the last
-# owner began, may be on a worker that answers a few milliseconds after the others.
-OPENING_S = 0.06
-# Coming back is worth a try after this many seconds if workers are closed by operators, who take
-# evacuations back by hand.
+# Added to the time by which every lease that a previous owner requested must have expired. Until
+# then a new owner starts no task that may still be running on a worker it can't reach.
+LEASE_EXPIRY_MARGIN_S = 0.05
+# A new owner starts no tasks for this long, unless all its workers report their runs earlier. A
+# resubmitted job can't be told from a new one, and the runs that the previous owner started for it
+# may be on a worker that answers a few milliseconds after the others.
+STARTUP_DELAY_S = 0.06
+# Retry delay for callers while workers are evacuated. Operators end evacuations by hand.
 EVACUATED_RETRY_S = 5.0
-# How often waiting jobs are looked at for having waited too long, in seconds.
-REVIEW_S = 0.02
+# Interval between checks for jobs that can't be served and for unclaimed orphaned runs.
+REVIEW_INTERVAL_S = 0.02
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class RunVisibility:
-    """Whether everything that runs could be seen at a moment of the loop's clock."""
+    """Whether all runs were visible to the owner at a time of the event loop's clock."""
 
     at: float = -1.0
     complete: bool = False
@@ -61,10 +61,10 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class CapacityStatus:
-    """How an owner's workers stand.
+    """Free capacity and backlog of an owner's workers.
 
-    :param free_cpu: thousandths of a core where a usual task fits.
-    :param backlog_s: seconds that the workers need for what waits.
+    :param free_cpu: free CPU in millicores, counting only multiples of a typical task's demand.
+    :param backlog_s: time in seconds that the workers need for the waiting tasks.
     """
 
     free_cpu: int
@@ -72,46 +72,47 @@
 
 
 class OwnerListener(abc.ABC):
-    """What an owner tells the entry that runs it."""
+    """Callbacks and queries of an owner to the entry that hosts it."""
 
     @abc.abstractmethod
     def on_job_ended(self, job: str, entries: set[str], outcome: Outcome) -> None:
-        """Pass an answer to the entries whose callers wait for it."""
+        """Deliver a job's outcome to the entries whose callers wait for it."""
 
     @abc.abstractmethod
     def on_tasks_done(self, job: str, entries: set[str], tasks: list[tuple[int, int]]) -> None:
-        """Tell the entries which tasks need not run again."""
+        """Tell the entries which tasks are done and must not run again."""
 
     @abc.abstractmethod
     def reaches_all_domains(self) -> bool:
-        """Return whether an entry of each failure domain answers, and has for a while."""
+        """Return whether every failure domain has been reachable through an entry for a while."""
 
     @abc.abstractmethod
     def has_evacuation_state(self) -> bool:
-        """Return whether it is known which failure domains are evacuated."""
+        """Return whether the set of evacuated failure domains is known."""
 
     @abc.abstractmethod
     def has_usable_worker_list(self) -> bool:
-        """Return whether the list of workers is young enough to start tasks by it."""
+        """Return whether the worker list is recent enough to start tasks from it."""
 
     @abc.abstractmethod
     def worker_list_age_s(self) -> float:
-        """Return how old the list of workers is that is known here, in seconds."""
+        """Return the age of the locally known worker list in seconds."""
 
     @abc.abstractmethod
     def on_superseded(self) -> None:
-        """Find out who the owner is: a worker obeys a higher fencing token."""
+        """Look up the current owner, since a worker has accepted a higher fencing token."""
 
 
 class Owner(WorkerObserver):
-    """Schedules all jobs on the workers that it holds.
-
-    :param domain: only workers of this failure domain, or all if None. An entry that stands in
-        for an owner behind a partition takes just its own.
-    :param covers: tells which workers belong to the cell.
-    :param renew_only_adopted: owners of other cells may count on the lapsing of runs that nobody
-        here claims, so these are not extended.
-    :param cores: processor that this entry may use.
+    """Schedules the jobs of a cell on its workers.
+
+    :param fence: fencing token of this owner.
+    :param domain: failure domain whose workers are used, or None for all workers. A stand-in for
+        an owner behind a partition uses only the workers of its own domain.
+    :param cores: CPU cores that this entry may use.
+    :param covers: returns whether a worker belongs to the cell.
+    :param renew_only_adopted: renew no leases on workers with orphaned runs. Owners of other cells
+        may rely on these runs' leases expiring.
     """
 
     def __init__(
@@ -131,7 +132,7 @@
         self._cores = cores
         self._covers = covers
         self._renew_only_adopted = renew_only_adopted or domain is not None
-        self._usual_cpu = 1
+        self._typical_task_cpu = 1
         self.fence = fence
         self.domain = domain
         self.jobs = JobRegistry(
@@ -140,10 +141,10 @@
         self._client = client
         self._listener = listener
         self._limits = limits
-        self._ended_elsewhere: dict[TaskId, EndKind] = {}
+        self._orphaned_ends: dict[TaskId, EndKind] = {}
         self._loop = asyncio.get_running_loop()
-        self._losses = AnswerLossDetector()
-        self._workers = WorkerSet(serves=self._serves, make_session=self._make_session)
+        self._loss_detector = AnswerLossDetector()
+        self._workers = WorkerSet(is_assigned=self._is_assigned, make_session=self._make_session)
         self._run_visibility = RunVisibility()
         self._runs = RunIndex()
         self._run_times = JobRunTimeEstimator()
@@ -166,25 +167,25 @@
         self._health = WorkerHealthMonitor(
             sessions_by_id=self._workers.sessions_by_id,
             on_capacity_available=self.on_capacity_available,
-            expect_s=self._expect_s,
+            expect_s=self._expected_run_s,
             moves_of=self._moves_of,
             metrics=metrics,
         )
         self._opened_at = self._loop.time()
-        self._loop.call_later(OPENING_S, self.on_capacity_available)
+        self._loop.call_later(STARTUP_DELAY_S, self.on_capacity_available)
         self._tasks = BackgroundTasks()
         self._tasks.spawn(self._review_forever())
 
     def close(self) -> None:
-        """Give no more orders."""
+        """Stop scheduling and close all worker sessions."""
         self._tasks.close()
         self._workers.close()
 
     def promote(self, fence: int) -> None:
-        """Own all workers from now on under a higher fencing token, with all jobs and runs.
+        """Turn a stand-in into the owner of all workers, under a higher fencing token.
 
-        A stand-in that began anew as owner would lose what its workers run: they have often
-        lapsed in the list by then and are not back yet.
+        Jobs and runs are kept. An owner that started from scratch would lose the runs of its
+        workers, whose entries in the worker list have often expired during the partition.
         """
         self.fence = fence
         self.domain = None
@@ -195,23 +196,22 @@
     # -- workers ----------------------------------------------------------------------------
 
     def set_workers(self, infos: dict[str, WorkerInfo]) -> None:
-        """Follow the platform's list of workers."""
+        """Update the sessions from the platform's worker list."""
         if not self._workers.sessions_by_id:
-            # A new owner may get the list only now; see `OPENING_S`.
+            # A new owner may receive its first worker list late; see `STARTUP_DELAY_S`.
             self._opened_at = self._loop.time()
-            self._loop.call_later(OPENING_S, self.on_capacity_available)
-        self._workers.follow(infos)
+            self._loop.call_later(STARTUP_DELAY_S, self.on_capacity_available)
+        self._workers.update(infos)
         self.on_capacity_available()
 
     def probe_unlisted_workers(self, infos: list[WorkerInfo]) -> None:
-        """Hold workers that are not listed any more, if they still answer."""
+        """Open sessions with workers that have left the list but may still answer."""
         self._workers.probe_unlisted(infos)
 
     def evacuate(self, domains: Collection[str]) -> None:
-        """Start nothing on the workers of these failure domains; what runs there ends by itself.
+        """Start no tasks on the workers of these failure domains; runs already there continue.
 
-        Tasks that were sent there after operators had asked for it would run into whatever they
-        emptied the domain for.
+        Tasks started later would be hit by the event for which operators evacuate the domain.
         """
         self._workers.evacuate(domains)
         self.on_capacity_available()
@@ -223,29 +223,29 @@
             observer=self,
             fence=self.fence,
             limits=self._limits,
-            losses=self._losses,
+            loss_detector=self._loss_detector,
             renew_only_adopted=self._renew_only_adopted,
         )
 
-    def _serves(self, info: WorkerInfo) -> bool:
+    def _is_assigned(self, info: WorkerInfo) -> bool:
         return self.domain in (None, info.zone) and self._covers(info)
 
     def _may_start_tasks(self, now: float) -> bool:
-        """Return whether tasks may be started yet; see `OPENING_S`.
+        """Return whether tasks may be started yet; see `STARTUP_DELAY_S`.
 
-        An owner that has just started may hear of jobs before it hears of evacuations. What it
-        knows of the workers it may have been told some time ago.
+        A new owner may receive jobs before it knows the evacuations, and its worker list may be
+        stale.
         """
         if not self._listener.has_evacuation_state() or not self._listener.has_usable_worker_list():
             return False
-        return now - self._opened_at >= OPENING_S or self._workers.all_asked()
+        return now - self._opened_at >= STARTUP_DELAY_S or self._workers.all_probed()
 
     def _sees_all_runs(self, now: float) -> bool:
-        """Return whether nothing can run that no worker has shown.
+        """Return whether every run in the cell has been reported by its worker.
 
-        Workers of a failure domain that is cut off lapse in the list, so with a domain that can't
-        be heard there may be more workers than the list shows. Looked up once for each moment:
-        right after a take-over hundreds of jobs ask for it.
+        The list entries of workers in a partitioned failure domain expire, so while a domain is
+        unreachable there may be workers that are not listed. The result is cached for one time of
+        the event loop, since hundreds of jobs ask for it right after a take-over.
         """
         if self._run_visibility.at != now:
             complete = self.domain is None and self._listener.reaches_all_domains()
@@ -255,21 +255,22 @@
         return self._run_visibility.complete
 
     def _may_have_orphaned_runs(self, job: Job, now: float) -> bool:
-        """Return whether tasks of the job may run where this owner can't see them.
+        """Return whether tasks of the job may be running without this owner knowing.
 
-        A job that another owner had may run on a worker that does not answer here. Started again
-        it would run twice. Either all workers have shown what they run, or every lease that the
-        other owner can have asked for has lapsed since the job was handed over.
+        A job that a previous owner accepted may be running on a worker that does not answer, and
+        starting its tasks again would run them twice. This is ruled out once all workers have
+        reported their runs, or once every lease that the previous owner can have requested has
+        expired since the job was submitted here.
         """
         return self._start_delay_s(job, now) > 0
 
     def _start_delay_s(self, job: Job, now: float) -> float:
-        """Return for how long no task of the job may be started; see `_may_have_orphaned_runs`."""
+        """Return the seconds until tasks of the job may start; see `_may_have_orphaned_runs`."""
         if not job.possibly_started or self._sees_all_runs(now):
             return 0.0
         lease_s = self._limits.max_lease_s * (1 + MAX_CLOCK_DRIFT_RATE)
-        lapsed_at = job.accepted_at + lease_s + self._limits.thaw_slack_s + SETTLE_MARGIN_S
-        return max(lapsed_at - now, 0.0)
+        expired_at = job.accepted_at + lease_s + self._limits.thaw_slack_s + LEASE_EXPIRY_MARGIN_S
+        return max(expired_at - now, 0.0)
 
     # -- jobs -------------------------------------------------------------------------------
 
@@ -282,14 +283,20 @@
         possibly_started: bool,
         done: list[tuple[int, int]],
     ) -> None:
-        """Take a job in, or let one more entry wait for it."""
+        """Accept a job, or add an entry to those that wait for it.
+
+        :param entry: name of the entry whose caller waits for the outcome.
+        :param age_s: time since the caller's request arrived, in seconds.
+        :param possibly_started: whether a previous owner may have started tasks of the job.
+        :param done: step and index of each task that is already done.
+        """
         job = self.jobs.open(request, entry=entry, age_s=age_s, possibly_started=possibly_started)
         if job is None:
             return
         for step, index in done:
-            self._note_done(job, TaskId(request.id, step, index))
-        self._usual_cpu = max(job.smallest_cpu, 1)
-        self._claim_runs(job)
+            self._mark_task_done(job, TaskId(request.id, step, index))
+        self._typical_task_cpu = max(job.smallest_cpu, 1)
+        self._adopt_existing_runs(job)
         self._overload.note_arrival(job, self._loop.time())
         log.info(
             "job_taken job=%s entry=%s age_ms=%d exposed=%s tasks=%d waiting=%d",
@@ -297,20 +304,20 @@
             entry,
             age_s * 1000,
             possibly_started,
-            sum(job.left),
+            sum(job.unfinished_by_step),
             job.waiting,
         )
         if job.is_complete():
             self.jobs.end(job, Outcome(verdict=Verdict.SUCCEEDED))
             return
-        self._wait_for_room(job)
+        self._enqueue(job)
 
     def capacity_status(self) -> CapacityStatus:
-        """Return what the workers have free, and how long they need for what waits."""
+        """Return the free capacity of the workers and the time they need for the waiting tasks."""
         sessions = self._workers.sessions_by_id.values()
         now = self._loop.time()
-        usual = self._usual_cpu
-        free = sum(max(s.free_cpu, 0) // usual * usual for s in sessions if s.can_start(now))
+        typical = self._typical_task_cpu
+        free = sum(max(s.free_cpu, 0) // typical * typical for s in sessions if s.can_start(now))
         usable = sum(s.info.cpu for s in sessions if s.can_serve(now))
         waiting = sum(job.waiting_work() for job in self._scheduler.queue)
         return CapacityStatus(
@@ -318,11 +325,11 @@
         )
 
     def waiting_entries(self) -> set[str]:
-        """Return the names of all entries that wait for jobs of this owner."""
-        return {name for job in self.jobs.jobs_by_id.values() for name in job.waiting_for}
+        """Return the names of all entries that wait for outcomes from this owner."""
+        return {name for job in self.jobs.jobs_by_id.values() for name in job.waiting_entries}
 
     def gauges(self) -> dict[str, float]:
-        """Return what this owner believes now."""
+        """Return the values of this owner's gauges by metric name."""
         sessions = self._workers.sessions_by_id.values()
         return {
             "jobs": len(self.jobs.jobs_by_id),
@@ -335,11 +342,11 @@
             "runs": sum(len(s.runs) for s in sessions),
         }
 
-    def _claim_runs(self, job: Job) -> None:
-        """Let a job have what runs of it already.
+    def _adopt_existing_runs(self, job: Job) -> None:
+        """Attach the runs that already exist for a job's tasks.
 
-        A caller that saw no answer sends its job again. Runs of the first sending may still be at
-        work or on their way to a stop, and a second run beside them would double the task.
+        A caller that got no answer submits its job again. Runs of the first submission may still
+        be running or stopping, and a second run would execute the task twice.
         """
         for _, run in self._runs.of_job(job.request.id):
             task = job.task(run.task)
@@ -353,44 +360,44 @@
                     run = self.on_orphaned_run(session, task_id, number)
                     if run is not None:
                         session.adopt(run)
-        for task_id, kind in list(self._ended_elsewhere.items()):
+        for task_id, kind in list(self._orphaned_ends.items()):
             if task_id.job == job.request.id:
-                del self._ended_elsewhere[task_id]
+                del self._orphaned_ends[task_id]
                 if kind is EndKind.DONE:
-                    self._note_done(job, task_id)
+                    self._mark_task_done(job, task_id)
 
-    def _wait_for_room(self, job: Job) -> None:
-        """Queue a job if any of its tasks wait."""
+    def _enqueue(self, job: Job) -> None:
+        """Add a job to the queue if any of its tasks are waiting."""
         if job.waiting:
             self._scheduler.queue.add(job, now=self._loop.time())
             self.on_capacity_available()
 
-    def _note_done(self, job: Job, task_id: TaskId) -> None:
+    def _mark_task_done(self, job: Job, task_id: TaskId) -> None:
         task = job.task(task_id)
         if task is not None:
             job.mark_done(task)
 
     def _on_job_ended(self, job: Job) -> None:
-        """Stop what still runs of a job."""
+        """Stop the remaining runs of a job."""
         self._scheduler.queue.discard(job)
         for session, run in self._runs.of_job(job.request.id):
             if not run.stopping:
                 session.stop(run)
 
-    # -- placing ----------------------------------------------------------------------------
+    # -- scheduling -------------------------------------------------------------------------
 
     def on_capacity_available(self) -> None:
-        """Place waiting tasks soon: there may be room, or something new to place."""
+        """Request placement of waiting tasks, since capacity or tasks may have become available."""
         self._scheduler.request_placement()
 
     def _next_run_number(self, task: Task) -> int:
         task.runs += 1
         return self.fence * RUNS_PER_FENCE + task.runs
 
-    # -- what workers tell ------------------------------------------------------------------
+    # -- worker events ----------------------------------------------------------------------
 
     def on_held(self, session: WorkerSession) -> None:
-        """Note that the worker took the fencing token and showed what it runs."""
+        """Handle a worker that has accepted the fencing token and reported its runs."""
         log.info(
             "worker_held worker=%s fence=%d runs=%d strangers=%d",
             session.info.id,
@@ -401,11 +408,11 @@
         self.on_capacity_available()
 
     def on_run_added(self, session: WorkerSession, run: Run) -> None:
-        """Note that a worker has a run."""
+        """Index a run that was ordered or adopted on a worker."""
         self._runs.add(session, run)
 
     def on_run_ended(self, session: WorkerSession, run: Run, outcome: RunOutcome) -> None:
-        """Decide what becomes of a task whose run has left a worker."""
+        """Complete, retry or fail the task of a run that has ended on a worker."""
         self._runs.discard(run)
         self.on_capacity_available()
         job = self.jobs.jobs_by_id.get(run.task.job)
@@ -421,7 +428,7 @@
             )
             self._health.note_done(session, ratio)
             job.mark_done(task)
-            self._tell_done(job, task)
+            self._report_task_done(job, task)
             return
         if outcome is not RunOutcome.NOT_STARTED:
             log.info(
@@ -433,10 +440,10 @@
                 task.failures,
             )
         if outcome is RunOutcome.NOT_STARTED:
-            # Elsewhere first: this worker may lose the next order, too.
+            # Prefer other workers, since this one may lose the next start order as well.
             task.avoided_workers.add(session.info.id)
         if outcome is RunOutcome.STOPPED:
-            # Only a run that was moved is stopped while its job goes on.
+            # A run is stopped while its job is open only to move the task to another worker.
             task.moves += 1
             task.avoided_workers.add(session.info.id)
         if outcome is RunOutcome.FAILED:
@@ -446,21 +453,21 @@
                 self.jobs.end(job, Outcome(verdict=Verdict.FAILED, reason="task failed"))
                 return
         job.mark_waiting(task)
-        self._wait_for_room(job)
+        self._enqueue(job)
 
     def min_poll_interval_s(self) -> float:
-        """Return the least time between two calls to a worker that this owner can bear."""
+        """Return the shortest interval in seconds between polls of one worker."""
         return min_poll_interval_s(workers=len(self._workers.sessions_by_id), cores=self._cores)
 
     def on_progress_reported(self, session: WorkerSession, clock_ms: int) -> None:
-        """Judge a worker by how far its runs are."""
+        """Check a worker's health by the progress of its runs."""
         self._health.check_progress(session, clock_ms)
 
-    def _expect_s(self, session: WorkerSession, run: Run) -> float:
-        """Return how long the task of a run takes on a usual worker.
+    def _expected_run_s(self, session: WorkerSession, run: Run) -> float:
+        """Return the time in seconds that the task of a run takes on a typical worker.
 
-        If other tasks of the job run on other workers and take longer than estimated as well, it
-        is not this worker that is slow.
+        If tasks of the same step also take longer than estimated on other workers, this worker is
+        not the slow one.
         """
         job = self.jobs.jobs_by_id.get(run.task.job)
         if job is None:
@@ -480,15 +487,15 @@
         task = job.task(run.task) if job is not None else None
         return task.moves if task is not None else 0
 
-    def _tell_done(self, job: Job, task: Task) -> None:
+    def _report_task_done(self, job: Job, task: Task) -> None:
         if job.is_complete():
             self.jobs.end(job, Outcome(verdict=Verdict.SUCCEEDED))
             return
-        place = (task.id.step, task.id.index)
-        self._listener.on_tasks_done(job.request.id, job.waiting_for, [place])
+        task_key = (task.id.step, task.id.index)
+        self._listener.on_tasks_done(job.request.id, job.waiting_entries, [task_key])
 
     def on_orphaned_run(self, session: WorkerSession, task: TaskId, number: int) -> Run | None:
-        """Return the run to adopt for a task that an earlier owner started, or None."""
+        """Return the run to adopt for a task that a previous owner started, or None."""
         job = self.jobs.jobs_by_id.get(task.job)
         known = job.task(task) if job is not None else None
         if known is None or known.state is not TaskState.WAITING:
@@ -509,18 +516,18 @@
         )
 
     def on_orphaned_run_ended(self, task: TaskId, kind: EndKind) -> None:
-        """Note the end of a run that this owner did not order."""
+        """Record the end of a run that this owner did not order."""
         job = self.jobs.jobs_by_id.get(task.job)
         if job is None:
-            self._ended_elsewhere[task] = kind
+            self._orphaned_ends[task] = kind
             return
         known = job.task(task)
         if kind is EndKind.DONE and known is not None and known.state is TaskState.WAITING:
             job.mark_done(known)
-            self._tell_done(job, known)
+            self._report_task_done(job, known)
 
     def on_fenced(self, session: WorkerSession) -> None:
-        """Start nothing more until it is known who the owner is."""
+        """Suspend scheduling until the current owner is known."""
         self._metrics.count("workers_fenced")
         log.warning("worker_fenced worker=%s fence=%d", session.info.id, self.fence)
         if not self._scheduler.suspended:
@@ -528,22 +535,22 @@
             self._listener.on_superseded()
 
     def resume(self) -> None:
-        """Go on: the worker that was fenced obeys a stand-in, all others are still ours."""
+        """Resume scheduling: the fenced worker follows a stand-in, all others follow this owner."""
         self._scheduler.suspended = False
         self.on_capacity_available()
 
-    # -- what time brings -------------------------------------------------------------------
+    # -- periodic review --------------------------------------------------------------------
 
     async def _review_forever(self) -> None:
         while True:
-            await asyncio.sleep(REVIEW_S)
+            await asyncio.sleep(REVIEW_INTERVAL_S)
             now = self._loop.time()
             self._end_unservable_jobs(now)
             self._stop_orphaned_runs(now)
-            possibly_started = any(
+            leases_pending = any(
                 job.possibly_started and job.waiting for job in self.jobs.jobs_by_id.values()
             )
-            if possibly_started or self._scheduler.starts_blocked:
+            if leases_pending or self._scheduler.starts_blocked:
                 self.on_capacity_available()
 
     def _end_unservable_jobs(self, now: float) -> None:
@@ -567,10 +574,11 @@
                 self._end_unplaceable(job)
 
     def _end_unplaceable(self, job: Job) -> None:
-        """Answer a job that no worker here can take.
+        """End a job that no worker of this cell is large enough for.
 
-        One that has begun can't go to another cell, where its runs can't be seen; told at once,
-        its caller comes again and finds another one.
+        A job that has started can't move to another cell, where its runs are not visible. If an
+        evacuation is the reason, the job ends at once, so that its caller can retry elsewhere.
+        Otherwise it keeps waiting for workers that are large enough.
         """
         if not self._workers.could_fit_but_for_evacuation(job.request):
             if not job.started:
@@ -584,21 +592,21 @@
         self.jobs.end(job, outcome, remember=False)
 
     def _may_ever_fit(self, job: Job) -> bool:
-        """Return whether the workers known now are large enough for a job.
+        """Return whether the known workers are large enough for a job.
 
-        Looked up once for each job and list of workers: hundreds of jobs wait under overload, and
-        looking through hundreds of workers for each of them takes milliseconds.
+        Checked once for each job and version of the worker set. Under overload hundreds of jobs
+        wait, and checking hundreds of workers for each of them takes milliseconds.
         """
-        if job.fits_workers_of == self._workers.version:
+        if job.fit_checked_version == self._workers.version:
             return True
-        job.fits_workers_of = self._workers.version
+        job.fit_checked_version = self._workers.version
         return self._workers.could_ever_fit(job.request)
 
     def _stop_orphaned_runs(self, now: float) -> None:
         for session in self._workers.sessions_by_id.values():
             if session.orphaned_runs and now - session.orphaned_since > ORPHAN_GRACE_S:
                 log.info(
-                    "strangers_stopped worker=%s tasks=%d",
+                    "orphaned_runs_stopped worker=%s tasks=%d",
                     session.info.id,
                     len(session.orphaned_runs),
                 )
--- a/zincwell/dispatch/_runs.py
+++ b/zincwell/dispatch/_runs.py
@@ -1,4 +1,4 @@
-"""One run of a task on a worker, and how it can end."""
+"""Runs of tasks on workers, and their possible outcomes."""
 
 from __future__ import annotations
 
@@ -13,16 +13,15 @@
 if TYPE_CHECKING:
     from zincwell.dispatch._worker_session import WorkerSession
 
-# A run that has taken longer than expected goes on for this share of the expected time, as far as
-# anybody knows.
-OVERRUN_SHARE = 0.1
+# Estimated remaining time of a run that has exceeded its expected time, as a share of that time.
+OVERRUN_REMAINING_SHARE = 0.1
 
 
 class RunOutcome(enum.Enum):
-    """How a run left a worker.
+    """How a run ended.
 
-    ``NOT_STARTED``: the worker never began it. ``LOST``: it ended without a result, by a lapsed
-    lease or with its worker. ``FAILED`` counts as an attempt, the others do not.
+    ``NOT_STARTED``: the worker never started it. ``LOST``: it ended without a result, since its
+    lease expired or its worker failed. Only ``FAILED`` counts as an attempt of the task.
     """
 
     DONE = enum.auto()
@@ -36,18 +35,18 @@
 class Run:
     """One run of a task on a worker.
 
-    Times that end in ``_ms`` are on the worker's clock: what is told late, over a slow connection
-    or by a worker that stood still, then says nothing wrong about how fast the run is.
+    Attributes that end in ``_ms`` are times on the worker's clock, so that late reports, caused by
+    a slow connection or a suspended worker, don't distort the measured speed.
 
-    :param expected_s: how long it runs on a usual worker.
-    :param adopted: an earlier owner ordered it.
-    :param confirmed_at: when an answer of the worker showed it, or None while in doubt.
-    :param start_deadline_ms: time after which the order is void.
-    :param answered: whether the call that ordered it has ended.
+    :param expected_s: expected run time on a typical worker.
+    :param adopted: whether a previous owner ordered it.
+    :param confirmed_at: when the worker first confirmed it, or None while the start is unconfirmed.
+    :param start_deadline_ms: time after which the worker refuses the start order.
+    :param answered: whether the start call has returned or failed.
     :param voided_at: when the worker was told to refuse it, or None.
-    :param begun_ms: when it was first known to be at work, or None.
-    :param first_percent: how far it was then.
-    :param progress_ms: when it was first seen at its latest percent.
+    :param started_ms: when it was first known to be active, or None.
+    :param first_percent: its progress at ``started_ms``.
+    :param last_progress_ms: when its latest progress was first reported.
     """
 
     task: TaskId
@@ -64,68 +63,68 @@
     voided_at: float | None = None
     stopping: bool = False
     stop_sent_at: float = 0.0
-    begun_ms: int | None = None
+    started_ms: int | None = None
     first_percent: float = 0.0
     percent: float = 0.0
-    progress_ms: int = 0
+    last_progress_ms: int = 0
 
     def note_started(self, clock_ms: int, *, percent: float = 0.0) -> None:
-        """Take note of the first sign that the run is at work."""
-        if self.begun_ms is None:
-            self.begun_ms = self.progress_ms = clock_ms
+        """Record the first report that the run is active."""
+        if self.started_ms is None:
+            self.started_ms = self.last_progress_ms = clock_ms
             self.first_percent = self.percent = percent
 
     def note_progress(self, clock_ms: int, *, percent: float) -> None:
-        """Take note of how far the run is."""
+        """Record the progress of the run."""
         self.note_started(clock_ms, percent=percent)
         if percent > self.percent:
             self.percent = percent
-            self.progress_ms = clock_ms
+            self.last_progress_ms = clock_ms
 
     def stalled_s(self, clock_ms: int) -> float:
-        """Return for how long the run has shown no progress; 0 if it is not known to be at work."""
-        return (clock_ms - self.progress_ms) / 1000 if self.begun_ms is not None else 0.0
+        """Return the time in seconds without progress; 0 if the run is not known to be active."""
+        return (clock_ms - self.last_progress_ms) / 1000 if self.started_ms is not None else 0.0
 
     def projected_total_s(self) -> float | None:
-        """Return how long the whole task takes on this worker, or None if that can't be told yet.
+        """Return the extrapolated total run time in seconds.
 
-        It can be told once the run has shown a few percent.
+        None until the run has made progress of a few percent.
         """
-        gained = self.percent - self.first_percent
-        if self.begun_ms is None or gained < MIN_PROGRESS_PERCENT:
+        gained_percent = self.percent - self.first_percent
+        if self.started_ms is None or gained_percent < MIN_PROGRESS_PERCENT:
             return None
-        return (self.progress_ms - self.begun_ms) / 1000 * 100 / gained
+        return (self.last_progress_ms - self.started_ms) / 1000 * 100 / gained_percent
 
     def left_s(self, now: float, *, expected_s: float) -> float:
-        """Return for how much longer it will run, by its progress or else by what is expected."""
+        """Return the estimated remaining time in seconds, by progress or by the expected time."""
         total_s = self.projected_total_s() or expected_s
         if self.adopted:
             return total_s * (100 - self.percent) / 100
-        return max(self.ordered_at + total_s - now, OVERRUN_SHARE * total_s)
+        return max(self.ordered_at + total_s - now, OVERRUN_REMAINING_SHARE * total_s)
 
 
 class RunIndex:
-    """Finds the runs of a job.
+    """Index of runs by job.
 
-    Looking through the runs of all workers at the beginning and end of each job took half a
+    Searching the runs of all workers at the start and end of each job would take half a
     millisecond with 175 workers.
     """
 
     def __init__(self) -> None:
-        self._session_by_run: dict[str, dict[Run, WorkerSession]] = {}
+        self._sessions_by_job: dict[str, dict[Run, WorkerSession]] = {}
 
     def add(self, session: WorkerSession, run: Run) -> None:
-        """Note that a worker has a run."""
-        self._session_by_run.setdefault(run.task.job, {})[run] = session
+        """Add a run."""
+        self._sessions_by_job.setdefault(run.task.job, {})[run] = session
 
     def discard(self, run: Run) -> None:
-        """Note that a run has left its worker."""
-        sessions = self._session_by_run.get(run.task.job, {})
+        """Remove a run."""
+        sessions = self._sessions_by_job.get(run.task.job, {})
         sessions.pop(run, None)
         if not sessions:
-            self._session_by_run.pop(run.task.job, None)
+            self._sessions_by_job.pop(run.task.job, None)
 
     def of_job(self, job: str) -> Iterator[tuple[WorkerSession, Run]]:
-        """Iterate over the runs of a job and the sessions with their workers."""
-        sessions = self._session_by_run.get(job, {})
+        """Iterate over the runs of a job, each with the session of its worker."""
+        sessions = self._sessions_by_job.get(job, {})
         return iter([(session, run) for run, session in sessions.items()])
--- a/zincwell/dispatch/_worker_calls.py
+++ b/zincwell/dispatch/_worker_calls.py
@@ -1,4 +1,4 @@
-"""The calls to one worker: under which token, for how long, and when they count as lost."""
+"""Calls to one worker, with fencing token, lease deadlines and answer timeouts."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     WorkerClient,
 )
 
-# Seconds a worker waits for an end before it answers a hold. A take-over takes about 0.55 s from
-# the owner's last heartbeat, so a lease of 1 s must not be older than 0.45 s at that moment.
+# How long a worker with runs keeps a hold call open while none of them ends. A take-over completes
+# about 0.55 s after the owner's last heartbeat, so a lease of 1 s must be at most 0.45 s old then.
 HOLD_WAIT_S = 0.25
-# A start that has not been carried out by then, on the worker's clock, never will be: the worker
-# refuses it as late. This bounds how long an unanswered start leaves a task in doubt.
-START_VALID_MS = 400
+# Validity of a start order on the worker's clock. The worker refuses it afterwards, which bounds
+# how long the outcome of an unanswered start is unknown.
+START_VALIDITY_MS = 400
 
 
 class WorkerCalls:
-    """Gives orders to one worker under a fencing token, and remembers the leases it asked for.
+    """Sends orders to one worker under a fencing token and tracks the requested leases.
 
-    :ivar fence: token of all orders from now on.
-    :ivar acknowledged: number of the last end that the worker need not tell again.
+    :ivar fence: fencing token of all further calls.
+    :ivar acknowledged: sequence number of the last ended run that the worker need not report again.
     """
 
     def __init__(
@@ -40,21 +40,21 @@
         self._info = info
         self._client = client
         self._limits = limits
-        self._answers = AnswerTimeoutEstimator()
-        self._lapses_at = 0.0
+        self._timeout_estimator = AnswerTimeoutEstimator()
+        self._leases_expire_at = 0.0
         self._loop = asyncio.get_running_loop()
 
     def answer_timeout_s(self) -> float:
-        """Return after how many seconds without an answer a call is taken for lost."""
-        return self._answers.answer_timeout_s()
+        """Return the time in seconds after which an unanswered call counts as lost."""
+        return self._timeout_estimator.answer_timeout_s()
 
-    def has_lapsed(self) -> bool:
-        """Return whether no lease that was ever asked for can still be valid."""
-        return self._loop.time() > self._lapses_at
+    def have_leases_expired(self) -> bool:
+        """Return whether every lease that was requested has certainly expired."""
+        return self._loop.time() > self._leases_expire_at
 
     async def start(self, run: Run, spec: str) -> StartReply:
-        """Order a run that begins soon or never."""
-        run.start_deadline_ms = int(self.clock.lower_bound_ms() + START_VALID_MS)
+        """Order a run, which the worker refuses if the order arrives past its deadline."""
+        run.start_deadline_ms = int(self.clock.lower_bound_ms() + START_VALIDITY_MS)
         order = StartOrder(
             task=run.task,
             run=run.number,
@@ -63,26 +63,30 @@
             fence=self.fence,
         )
         sent_at = self._loop.time()
-        reply = await self._client.start(self._info, order, timeout_s=START_VALID_MS / 1000)
-        self._answers.note(self._loop.time() - sent_at)
+        reply = await self._client.start(self._info, order, timeout_s=START_VALIDITY_MS / 1000)
+        self._timeout_estimator.note(self._loop.time() - sent_at)
         if reply.clock_ms is not None:
             self.clock.update(reply.clock_ms)
         return reply
 
     async def stop(self, task: TaskId, number: int) -> None:
-        """Order the end of a run; one that has not begun is refused from then on."""
+        """Stop a run. If it has not started, the worker refuses it from then on."""
         await self._client.stop(
             self._info, task=task, run=number, fence=self.fence, timeout_s=MAX_ANSWER_TIMEOUT_S
         )
 
     async def hold(
-        self, *, extend: bool, wait_s: float = 0.0, answer_timeout_s: float = MAX_ANSWER_TIMEOUT_S
+        self,
+        *,
+        renew_leases: bool,
+        wait_s: float = 0.0,
+        answer_timeout_s: float = MAX_ANSWER_TIMEOUT_S,
     ) -> HoldReply:
-        """Ask what runs and what ended.
+        """Poll the active and the ended runs.
 
-        :param extend: extend the lease of everything that runs there.
-        :param wait_s: how long the worker may wait for an end before it answers.
-        :param answer_timeout_s: how long its answer may take beyond that.
+        :param renew_leases: renew the leases of all runs on the worker.
+        :param wait_s: how long the worker may wait for a run to end before it answers.
+        :param answer_timeout_s: how long the answer may take beyond that.
         """
         sent_at = self._loop.time()
         try:
@@ -90,24 +94,24 @@
                 self._info,
                 fence=self.fence,
                 acknowledged=self.acknowledged,
-                deadline_ms=self._lease_deadline() if extend else None,
+                deadline_ms=self._lease_deadline_ms() if renew_leases else None,
                 wait_s=wait_s,
                 timeout_s=wait_s + answer_timeout_s,
             )
         except WorkerCallError:
-            self._answers.note_timeout()
+            self._timeout_estimator.note_timeout()
             raise
         took_s = self._loop.time() - sent_at
         if took_s >= wait_s:
-            # One that came earlier was sent when a run ended, and says nothing of the way.
-            self._answers.note(took_s - wait_s)
+            # An earlier answer was sent when a run ended, so the network delay is unknown.
+            self._timeout_estimator.note(took_s - wait_s)
         return reply
 
-    def _lease_deadline(self) -> int | None:
-        """Return until when everything there may run, on the worker's clock, if that is known."""
+    def _lease_deadline_ms(self) -> int | None:
+        """Return the next lease deadline on the worker's clock; None if that clock is unknown."""
         if not self.clock.is_known():
             return None
         lease_s = self._limits.max_lease_s
         slack_s = lease_s * MAX_CLOCK_DRIFT_RATE + self._limits.thaw_slack_s
-        self._lapses_at = max(self._lapses_at, self._loop.time() + lease_s + slack_s)
+        self._leases_expire_at = max(self._leases_expire_at, self._loop.time() + lease_s + slack_s)
         return int(self.clock.lower_bound_ms() + lease_s * 1000)
--- a/zincwell/dispatch/_worker_session.py
+++ b/zincwell/dispatch/_worker_session.py
@@ -1,4 +1,4 @@
-"""The owner's session with one worker: leases, starts, and what became of each run."""
+"""The owner's session with one worker: leases, start and stop orders, and run outcomes."""
 
 from __future__ import annotations
 
@@ -29,69 +29,87 @@
 
 log = logging.getLogger("zincwell.worker")
 
-# A stop is sent again if the run is still listed after this many seconds.
+# A stop order is repeated if the worker still reports the run after this time.
 STOP_RETRY_S = 0.15
-# Pause between attempts to reach a silent worker.
+# Delay before retrying a worker that does not answer, times the number of failures, and before
+# starting tasks on a worker that has refused one for lack of capacity.
 RETRY_PAUSE_S = 0.05
 MAX_RETRY_PAUSE_S = 0.4
+# Retry delay for workers that are not in the platform's list or have been replaced.
 UNLISTED_PAUSE_S = 1.0
-# A worker that left the list without a word is forgotten after this long. Partitions of a
-# failure domain last seconds, between regions minutes.
-FORGET_S = 120.0
-# One that said it would leave is gone; a lease on it has lapsed by then.
-LEFT_S = 2.0
-# A worker that did not answer for this long may obey another owner by now, so it has to show
-# again what it runs.
-UNSEEN_S = 0.5
-# Starts nothing for this long after the worker called itself unhealthy.
+# A silent worker that has left the list is dropped after this time. Partitions of a failure domain
+# last seconds, those between regions minutes.
+UNLISTED_TIMEOUT_S = 120.0
+# The same for a worker that was draining. Its last lease has expired by then.
+DRAINED_TIMEOUT_S = 2.0
+# A worker that has not answered for this long may have accepted another owner, so it must report
+# its runs again before it counts as held.
+HELD_TIMEOUT_S = 0.5
+# No tasks are started for this long after the worker has reported itself unhealthy.
 UNHEALTHY_PAUSE_S = 0.5
 
 
 class WorkerObserver(abc.ABC):
-    """What a session tells the owner."""
+    """Callbacks and queries of a session to the owner."""
 
     @abc.abstractmethod
     def on_held(self, session: WorkerSession) -> None:
-        """Note that the worker took the fencing token and showed what it runs."""
+        """Handle a worker that has accepted the fencing token and reported its runs."""
 
     @abc.abstractmethod
     def on_capacity_available(self) -> None:
-        """Note that a worker may have room again."""
+        """Handle capacity that may have become available on a worker."""
 
     @abc.abstractmethod
     def on_run_added(self, session: WorkerSession, run: Run) -> None:
-        """Note that a run was ordered or adopted."""
+        """Record a run that was ordered or adopted."""
 
     @abc.abstractmethod
     def on_run_ended(self, session: WorkerSession, run: Run, outcome: RunOutcome) -> None:
-        """Note that a run has left the worker."""
+        """Handle the end of a run on the worker."""
 
     @abc.abstractmethod
     def min_poll_interval_s(self) -> float:
-        """Return the least time between two calls to a worker that this owner can bear."""
+        """Return the shortest interval in seconds between polls of one worker."""
 
     @abc.abstractmethod
     def on_progress_reported(self, session: WorkerSession, clock_ms: int) -> None:
-        """Note that the worker has shown how far its runs are, at a time of its clock."""
+        """Handle a progress report of the worker.
+
+        :param clock_ms: time of the report on the worker's clock.
+        """
 
     @abc.abstractmethod
     def on_orphaned_run(self, session: WorkerSession, task: TaskId, number: int) -> Run | None:
-        """Return the run to adopt for a task that an earlier owner started, or None."""
+        """Return the run to adopt for a task that a previous owner started, or None."""
 
     @abc.abstractmethod
     def on_orphaned_run_ended(self, task: TaskId, kind: EndKind) -> None:
-        """Note the end of a run that this owner did not order."""
+        """Record the end of a run that this owner did not order."""
 
     @abc.abstractmethod
     def on_fenced(self, session: WorkerSession) -> None:
-        """Note that the worker obeys another owner now."""
+        """Handle a worker that has accepted a higher fencing token of another owner."""
 
 
 class WorkerSession:
-    """Gives one worker orders under a fencing token and follows its runs.
-
-    A worker that answers nothing is not dead: what it runs goes on until its lease lapses. So a
-    run is given up only once no lease that was ever asked for can still be valid.
+    """Sends orders to one worker under a fencing token and tracks its runs.
+
+    The worker is polled continuously by "hold" calls, which renew the leases of its runs and
+    report active and ended runs. A worker that does not answer may be alive and continue its runs
+    until their leases expire, so runs count as lost only once every requested lease has expired.
+
+    :param info: the worker as the platform lists it.
+    :param observer: receives the events of the session.
+    :param fence: fencing token of the owner.
+    :param loss_detector: shared by the owner's sessions, detects lost answers.
+    :param renew_only_adopted: renew no leases while the worker has orphaned runs.
+    :ivar orphaned_runs: number of each reported run that belongs to no known job, by task.
+    :ivar held: whether the worker has accepted the fencing token and reported its runs.
+    :ivar silent: whether the worker has stopped answering.
+    :ivar fenced: whether the worker has accepted a higher fencing token.
+    :ivar replaced: whether another process has taken the worker's address.
+    :ivar on_probation: whether the worker gets one run at a time, after a quarantine.
     """
 
     def __init__(
@@ -102,7 +120,7 @@
         observer: WorkerObserver,
         fence: int,
         limits: Limits,
-        losses: AnswerLossDetector,
+        loss_detector: AnswerLossDetector,
         renew_only_adopted: bool = False,
     ) -> None:
         self.info = info
@@ -123,10 +141,10 @@
         self._used_memory = 0
         self._used_gpu = 0
         self.last_answer_at = 0.0
-        self._busy_at = 0.0
-        self._asked_until = 0.0
+        self._last_run_ended_at = 0.0
+        self._long_poll_until = 0.0
         self._renew_only_adopted = renew_only_adopted
-        self._losses = losses
+        self._loss_detector = loss_detector
         self._observer = observer
         self._calls = WorkerCalls(info=info, client=client, fence=fence, limits=limits)
         self._loop = asyncio.get_running_loop()
@@ -135,19 +153,19 @@
         self._retry = asyncio.Event()
         self._tasks = BackgroundTasks()
 
-    # -- life -------------------------------------------------------------------------------
+    # -- lifecycle --------------------------------------------------------------------------
 
     def open(self) -> None:
-        """Begin to hold the worker."""
+        """Start polling the worker."""
         self._tasks.spawn(self._hold_forever())
 
     def close(self) -> None:
-        """Stop giving orders."""
+        """Stop polling and cancel open calls."""
         self.held = False
         self._tasks.close()
 
     def set_listed(self, listed: bool) -> None:
-        """Note whether the platform's list has the worker."""
+        """Set whether the worker is in the platform's list."""
         if listed == self._listed:
             return
         self._listed = listed
@@ -155,26 +173,25 @@
         self._retry.set()
 
     def is_gone(self) -> bool:
-        """Return whether the worker need not be looked after any more.
+        """Return whether the session can be closed.
 
-        A worker that is cut off together with its failure domain leaves the list, too, and runs
-        on under whoever is the owner there. It must be seen again before anything is started
-        that it may run.
+        A worker behind a partition leaves the list as well, and continues under the owner on its
+        side. It must report its runs again before tasks that it may be running are started here.
         """
         if self._listed or self.runs or not self.silent:
             return False
-        forget_s = LEFT_S if self.info.draining else FORGET_S
-        return self.replaced or self._loop.time() - self._unlisted_at > forget_s
+        timeout_s = DRAINED_TIMEOUT_S if self.info.draining else UNLISTED_TIMEOUT_S
+        return self.replaced or self._loop.time() - self._unlisted_at > timeout_s
 
     def update(self, info: WorkerInfo) -> None:
-        """Take over what the platform's list says now."""
+        """Update the worker's description from the platform's list."""
         self.info = info
 
     def raise_fence(self, fence: int) -> None:
-        """Give orders under a higher fencing token from now on.
+        """Send orders under a higher fencing token from now on.
 
-        A silent worker is tried at once: with a healed partition behind the new token, what runs
-        there lapses within a second unless it is held.
+        A silent worker is retried at once. After a partition has healed, its runs expire within a
+        second unless their leases are renewed.
         """
         self._calls.fence = fence
         self._renew_only_adopted = False
@@ -184,7 +201,7 @@
             self.held = False
 
     def can_start(self, now: float) -> bool:
-        """Return whether tasks may be placed here at all."""
+        """Return whether tasks may be started on this worker, regardless of free capacity."""
         return (
             self.held
             and not self.silent
@@ -197,7 +214,7 @@
         )
 
     def can_serve(self, now: float) -> bool:
-        """Return whether the worker takes part in what the owner can do."""
+        """Return whether the worker counts towards the owner's capacity."""
         return (
             self.held
             and not self.silent
@@ -206,76 +223,80 @@
         )
 
     def is_schedulable(self) -> bool:
-        """Return whether the worker is to get new work: it neither leaves nor is evacuated."""
+        """Return whether the worker is neither draining nor evacuated."""
         return not self.info.draining and not self.evacuated
 
     def quarantine(self, *, until: float) -> None:
-        """Start nothing until a moment, and one run at a time after it until one shows speed."""
+        """Start no tasks until a given time, then one at a time until a run is fast enough."""
         self.quarantined_until = until
         self.on_probation = True
 
     def count_of_step(self, job: str, step: int) -> int:
-        """Return how many tasks of a step run here."""
+        """Return the number of runs of a step's tasks on this worker."""
         return sum(1 for task in self.runs if task.job == job and task.step == step)
 
     # -- orders -----------------------------------------------------------------------------
 
     def start(self, run: Run, *, spec: str) -> None:
-        """Order a run; the observer learns how it ends."""
-        if self._asked_until - self._loop.time() > HOLD_WAIT_S:
-            self._loop.call_later(HOLD_WAIT_S, self._extend_early, self._asked_until)
+        """Order a run. The observer is told how it ends."""
+        if self._long_poll_until - self._loop.time() > HOLD_WAIT_S:
+            self._loop.call_later(HOLD_WAIT_S, self._renew_leases_early, self._long_poll_until)
         self._add(run)
         self._tasks.spawn(self._start(run, spec))
 
-    def _extend_early(self, asked_until: float) -> None:
-        """Extend the lease though a long call of a quiet worker is still open.
+    def _renew_leases_early(self, long_poll_until: float) -> None:
+        """Renew the leases while a long poll of an idle worker is still open.
 
-        Left to that call, a run that began meanwhile could be near the end of its lease when the
-        owner is lost, and lapse before the next one holds it.
+        A run that started during a long poll could be close to the end of its lease when the
+        owner fails, and expire before the next owner renews it.
         """
-        if self._asked_until == asked_until and self._loop.time() < asked_until and self.runs:
-            self._tasks.spawn(self._extend())
-
-    async def _extend(self) -> None:
+        if (
+            self._long_poll_until == long_poll_until
+            and self._loop.time() < long_poll_until
+            and self.runs
+        ):
+            self._tasks.spawn(self._renew_leases())
+
+    async def _renew_leases(self) -> None:
         try:
             await self._hold(0.0)
         except WorkerFencedError:
-            self._note_fenced()
+            self._handle_fenced()
         except (WorkerCallError, WorkerReplacedError) as error:
-            # The open call shows it as well, and decides what becomes of the runs.
+            # The open long poll meets the same error and handles the runs.
             log.info('hold_unanswered worker=%s error="%s"', self.info.id, error)
 
     def stop(self, run: Run) -> None:
-        """Order the end of a run; it keeps its room until the worker lists it as ended."""
+        """Stop a run. Its capacity stays reserved until the worker reports its end."""
         run.stopping = True
         run.stop_sent_at = self._loop.time()
         self._tasks.spawn(self._stop(run.task, run.number))
 
     def stop_orphaned_runs(self) -> None:
-        """Order the end of runs that belong to no job of this owner."""
+        """Stop the runs that belong to no job of this owner."""
         for task, number in self.orphaned_runs.items():
             self._tasks.spawn(self._stop(task, number))
 
     def adopt(self, run: Run) -> None:
-        """Take over a run that an earlier owner started."""
+        """Take over a run that a previous owner started."""
         self.orphaned_runs.pop(run.task, None)
         run.confirmed_at = self._loop.time()
         run.answered = True
         self._add(run)
 
     async def _start(self, run: Run, spec: str) -> None:
-        self._look_later(run)
+        self._schedule_start_check(run)
         try:
             reply = await self._calls.start(run, spec)
         except WorkerCallError as error:
-            self._note_unanswered(run, error)
+            self._handle_unanswered_start(run, error)
             return
         except WorkerFencedError:
-            self._leave(run, RunOutcome.NOT_STARTED)
-            self._note_fenced()
+            self._remove_run(run, RunOutcome.NOT_STARTED)
+            self._handle_fenced()
             return
         except WorkerReplacedError:
-            self._note_replaced()
+            self._handle_replaced()
             return
         run.answered = True
         if reply.status is StartStatus.STARTED:
@@ -283,13 +304,13 @@
             if reply.clock_ms is not None:
                 run.note_started(reply.clock_ms)
             return
-        self._refused(run, reply.status)
+        self._handle_refusal(run, reply.status)
 
-    def _note_unanswered(self, run: Run, error: WorkerCallError) -> None:
-        """Leave a start in doubt: the next holds tell whether it runs.
+    def _handle_unanswered_start(self, run: Run, error: WorkerCallError) -> None:
+        """Leave the outcome of a start open until a later poll shows whether the task runs.
 
-        Past its deadline it can't begin any more. A worker that has answered other calls since
-        then is not silent.
+        The worker refuses the order once its deadline has passed. It is not silent if it has
+        answered another call since the order was sent.
         """
         log.warning(
             'start_unanswered worker=%s task=%s run=%d error="%s"',
@@ -302,30 +323,30 @@
         if self.last_answer_at < run.ordered_at:
             self.silent = True
 
-    def _look_later(self, run: Run) -> None:
+    def _schedule_start_check(self, run: Run) -> None:
         due_at = self._loop.time() + self._calls.answer_timeout_s()
-        self._loop.call_at(due_at, self._look_into, run, due_at)
+        self._loop.call_at(due_at, self._check_start, run, due_at)
 
-    def _look_into(self, run: Run, due_at: float) -> None:
-        """Find out what became of a start if its answer is overdue.
+    def _check_start(self, run: Run, due_at: float) -> None:
+        """Resolve the outcome of a start order whose answer is overdue.
 
-        If this entry itself is late, answers lie unread in its sockets. Two calls more for each
-        start would make it later still, so it looks again after another while.
+        If the event loop lags, the answer may be waiting in a socket buffer. The two additional
+        calls for each start would increase the lag, so the check is rescheduled instead.
         """
         if run.answered or run.confirmed_at is not None or self.runs.get(run.task) is not run:
             return
         if self._loop.time() - due_at > MAX_LOOP_LAG_S:
-            self._look_later(run)
+            self._schedule_start_check(run)
         else:
-            self._tasks.spawn(self._resolve(run))
+            self._tasks.spawn(self._resolve_start(run))
 
-    async def _resolve(self, run: Run) -> None:
-        """Find out at once what became of a start that is not answered.
+    async def _resolve_start(self, run: Run) -> None:
+        """Determine the outcome of a start order without an answer.
 
-        An order that got lost may be carried out until its deadline, so a task of 60 ms would wait
-        for 400. If the worker does not show the run, it is told to stop it: from then on it
-        refuses that run, and the task can start elsewhere. With one order in fifteen lost, this
-        is what jobs of several tasks mostly wait for.
+        A lost order may still be executed until its deadline, so a task of 60 ms would wait for
+        400 ms. If the worker does not report the run, it is sent a stop order. From then on it
+        refuses the run, and the task can start elsewhere. With one order in fifteen lost, jobs of
+        several tasks would spend most of their waiting time on this.
         """
         try:
             await self._hold(0.0)
@@ -336,13 +357,13 @@
             log.info("start_voided worker=%s task=%s run=%d", self.info.id, run.task, run.number)
             await self._hold(0.0)
         except WorkerFencedError:
-            self._note_fenced()
+            self._handle_fenced()
         except WorkerReplacedError:
-            self._note_replaced()
+            self._handle_replaced()
         except WorkerCallError as error:
             log.info('start_in_doubt worker=%s task=%s error="%s"', self.info.id, run.task, error)
 
-    def _refused(self, run: Run, status: StartStatus) -> None:
+    def _handle_refusal(self, run: Run, status: StartStatus) -> None:
         log.info(
             "start_refused worker=%s task=%s run=%d status=%s free_cpu=%d",
             self.info.id,
@@ -352,37 +373,37 @@
             self.free_cpu,
         )
         if status in (StartStatus.UNHEALTHY, StartStatus.NO_ROOM):
-            pause = UNHEALTHY_PAUSE_S if status is StartStatus.UNHEALTHY else RETRY_PAUSE_S
-            self.pause_until = self._loop.time() + pause
-            self._loop.call_later(pause, self._observer.on_capacity_available)
+            pause_s = UNHEALTHY_PAUSE_S if status is StartStatus.UNHEALTHY else RETRY_PAUSE_S
+            self.pause_until = self._loop.time() + pause_s
+            self._loop.call_later(pause_s, self._observer.on_capacity_available)
         outcome = RunOutcome.FAILED if status is StartStatus.INVALID else RunOutcome.NOT_STARTED
-        self._leave(run, outcome)
+        self._remove_run(run, outcome)
 
     async def _stop(self, task: TaskId, number: int) -> None:
         try:
             await self._calls.stop(task, number)
         except WorkerFencedError:
-            self._note_fenced()
+            self._handle_fenced()
         except (WorkerCallError, WorkerReplacedError) as error:
-            # The hold loop sees whether it still runs, and orders the stop again.
+            # The hold loop repeats the stop order if the run is still active.
             log.info('stop_unanswered worker=%s task=%s error="%s"', self.info.id, task, error)
 
-    # -- the lease --------------------------------------------------------------------------
+    # -- polling and leases -----------------------------------------------------------------
 
     async def _hold_forever(self) -> None:
         failures = 0
         while True:
             try:
                 if failures == 0 and not self.silent and self.held:
-                    await self._hold_until_an_end()
+                    await self._hold_until_run_ends()
                 else:
                     await self._hold(0.0)
                 failures = 0
                 continue
             except WorkerFencedError:
-                self._note_fenced()
+                self._handle_fenced()
             except WorkerReplacedError:
-                self._note_replaced()
+                self._handle_replaced()
             except WorkerCallError as error:
                 if failures == 0:
                     log.warning(
@@ -393,15 +414,15 @@
                     )
                 self.silent = True
             failures += 1
-            if self._loop.time() - self.last_answer_at > UNSEEN_S:
+            if self._loop.time() - self.last_answer_at > HELD_TIMEOUT_S:
                 self.held = False
-            if self.runs and self._calls.has_lapsed():
+            if self.runs and self._calls.have_leases_expired():
                 log.warning("lease_lapsed worker=%s runs=%d", self.info.id, len(self.runs))
-                self._leave_all()
+                self._abandon_runs()
             await self._pause(failures)
 
     async def _pause(self, failures: int) -> None:
-        """Wait before the next try; a worker that is back in the list is tried at once."""
+        """Wait before the next attempt, at most until the listing or the fencing token changes."""
         pause_s = min(RETRY_PAUSE_S * failures, MAX_RETRY_PAUSE_S)
         if not self._listed or self.replaced:
             pause_s = UNLISTED_PAUSE_S
@@ -410,23 +431,24 @@
             async with asyncio.timeout(pause_s):
                 await self._retry.wait()
         except TimeoutError:
-            pass  # The pause is over.
+            pass  # The delay has passed.
 
-    async def _hold_until_an_end(self) -> None:
-        """Hold the worker and wait for an end; if the answer is lost, ask again at once.
+    async def _hold_until_run_ends(self) -> None:
+        """Renew the leases and long-poll for ended runs; poll again at once if the answer is lost.
 
-        Ends that come meanwhile would be heard half a second later: that is ten times the run time
-        of the shortest tasks, and with one call in fifteen lost it is what most jobs wait for.
+        Without the second poll, ends of runs would be noticed half a second late. That is ten
+        times the run time of the shortest tasks, and with one call in fifteen lost most jobs would
+        wait for it.
         """
         now = self._loop.time()
         wait_s = choose_long_poll_wait_s(
             max_wait_s=HOLD_WAIT_S,
             next_end_s=self._next_end_s(now),
-            lossy=self._losses.is_lossy(now),
+            lossy=self._loss_detector.is_lossy(now),
             min_wait_s=self._observer.min_poll_interval_s(),
-            idle_s=now - self._busy_at,
+            idle_s=now - self._last_run_ended_at,
         )
-        self._asked_until = now + wait_s
+        self._long_poll_until = now + wait_s
         answer_timeout_s = self._calls.answer_timeout_s()
         try:
             await self._hold(wait_s, answer_timeout_s=answer_timeout_s)
@@ -435,7 +457,7 @@
             log.info('hold_lost worker=%s error="%s"', self.info.id, error)
             asked_at = self._loop.time()
             await self._hold(0.0)
-            self._losses.note_timeout(
+            self._loss_detector.note_timeout(
                 self._loop.time(),
                 late_s=late_s,
                 answer_timeout_s=answer_timeout_s,
@@ -443,17 +465,17 @@
             )
 
     def _next_end_s(self, now: float) -> float | None:
-        """Return when the next run here should end, in seconds from now; None if there is none."""
-        lefts = (run.left_s(now, expected_s=run.expected_s) for run in self.runs.values())
-        return min(lefts, default=None)
+        """Return the time in seconds until the next run is expected to end; None without runs."""
+        remaining_s = (run.left_s(now, expected_s=run.expected_s) for run in self.runs.values())
+        return min(remaining_s, default=None)
 
     async def _hold(self, wait_s: float, *, answer_timeout_s: float = MAX_ANSWER_TIMEOUT_S) -> None:
         sent_at = self._loop.time()
         reply = await self._calls.hold(
-            extend=self._may_extend(), wait_s=wait_s, answer_timeout_s=answer_timeout_s
+            renew_leases=self._may_renew_leases(), wait_s=wait_s, answer_timeout_s=answer_timeout_s
         )
         self.last_answer_at = self._loop.time()
-        self._apply(reply, sent_at)
+        self._apply_reply(reply, sent_at)
         if self.silent:
             log.info("worker_back worker=%s runs=%d", self.info.id, len(self.runs))
             self.silent = False
@@ -462,20 +484,20 @@
             self.held = True
             self._observer.on_held(self)
 
-    def _may_extend(self) -> bool:
-        """Return whether what runs on the worker may run on.
+    def _may_renew_leases(self) -> bool:
+        """Return whether the next poll may renew the leases of the worker's runs.
 
-        A silent worker is asked without a lease: it may hear what it does not answer, and every
-        lease that was asked for puts off the moment when its runs are surely dead.
+        A silent worker may receive requests although its answers are lost. Every lease requested
+        from it would postpone the time at which its runs have certainly ended.
 
-        Unknown runs of an owner that may live behind a partition are not extended when
-        ``renew_only_adopted`` is set: it counts on their lapsing and starts them elsewhere.
+        With ``renew_only_adopted``, orphaned runs are not renewed. Another owner, possibly behind
+        a partition, relies on their expiry before it starts the tasks elsewhere.
         """
         if self.silent:
             return False
         return not self._renew_only_adopted or (self.held and not self.orphaned_runs)
 
-    def _apply(self, reply: HoldReply, sent_at: float) -> None:
+    def _apply_reply(self, reply: HoldReply, sent_at: float) -> None:
         now = self._loop.time()
         for row in reply.ended:
             if row.number <= self._calls.acknowledged:
@@ -486,26 +508,26 @@
             if run is None or run.number != row.run:
                 self._observer.on_orphaned_run_ended(row.task, row.kind)
                 continue
-            self._leave(run, _outcome_of(row.kind))
+            self._remove_run(run, _outcome_of(row.kind))
         if not self._calls.clock.update(reply.clock_ms):
-            # Overtaken by a later answer on another connection, so what it lists may have ended.
+            # A later answer arrived first on another connection, so this list of runs is stale.
             return
         listed = set()
         for row in reply.running:
             listed.add(row.task)
-            self._see_running(row, reply.clock_ms, now)
+            self._note_active_run(row, reply.clock_ms, now)
         for run in list(self.runs.values()):
-            if run.task not in listed and self._is_gone(run, reply.clock_ms, sent_at):
+            if run.task not in listed and self._is_run_gone(run, reply.clock_ms, sent_at):
                 outcome = (
                     RunOutcome.LOST if run.confirmed_at is not None else RunOutcome.NOT_STARTED
                 )
-                self._leave(run, outcome)
+                self._remove_run(run, outcome)
         for task in list(self.orphaned_runs):
             if task not in listed:
                 del self.orphaned_runs[task]
         self._observer.on_progress_reported(self, reply.clock_ms)
 
-    def _see_running(self, row: ActiveRun, clock_ms: int, now: float) -> None:
+    def _note_active_run(self, row: ActiveRun, clock_ms: int, now: float) -> None:
         run = self.runs.get(row.task)
         if run is None:
             run = self._observer.on_orphaned_run(self, row.task, row.run)
@@ -522,10 +544,13 @@
         if run.stopping and now - run.stop_sent_at > STOP_RETRY_S:
             self.stop(run)
 
-    def _is_gone(self, run: Run, clock_ms: int, sent_at: float) -> bool:
-        """Return whether a run that is not listed is neither there nor can still begin.
+    def _is_run_gone(self, run: Run, clock_ms: int, sent_at: float) -> bool:
+        """Return whether a run that the worker does not report has ended or can't start any more.
+
+        A worker refuses runs that it was ordered to stop, and start orders past their deadline.
 
-        A worker refuses runs that it was told to stop, and starts whose deadline has passed.
+        :param clock_ms: time of the report on the worker's clock.
+        :param sent_at: when the poll was sent.
         """
         if run.confirmed_at is not None:
             return sent_at > run.confirmed_at
@@ -533,22 +558,22 @@
             return sent_at >= run.voided_at
         return run.answered and sent_at > run.ordered_at and clock_ms > run.start_deadline_ms
 
-    # -- room -------------------------------------------------------------------------------
-    # Negative while the worker's capacity has shrunk below what runs there.
+    # -- capacity ---------------------------------------------------------------------------
+    # Values are negative while the worker's capacity has shrunk below the demand of its runs.
 
     @property
     def free_cpu(self) -> int:
-        """Thousandths of a core that are not in use."""
+        """Unreserved CPU in millicores."""
         return self.info.cpu - self._used_cpu
 
     @property
     def free_memory(self) -> int:
-        """Memory that is not in use, in MB."""
+        """Unreserved memory in MB."""
         return self.info.memory_mb - self._used_memory
 
     @property
     def free_gpu(self) -> int:
-        """GPUs that are not in use."""
+        """Number of unreserved GPUs."""
         return self.info.gpu - self._used_gpu
 
     def _add(self, run: Run) -> None:
@@ -558,30 +583,30 @@
         self._used_memory += run.memory_mb
         self._used_gpu += run.gpu
 
-    def _leave(self, run: Run, outcome: RunOutcome) -> None:
+    def _remove_run(self, run: Run, outcome: RunOutcome) -> None:
         if self.runs.get(run.task) is not run:
             return
         del self.runs[run.task]
-        self._busy_at = self._loop.time()
+        self._last_run_ended_at = self._loop.time()
         self._used_cpu -= run.cpu
         self._used_memory -= run.memory_mb
         self._used_gpu -= run.gpu
         self._observer.on_run_ended(self, run, outcome)
 
-    def _leave_all(self) -> None:
-        """Give up all runs: the worker's life or its lease has ended."""
+    def _abandon_runs(self) -> None:
+        """Count all runs as lost, since the leases have expired or the worker was replaced."""
         self.orphaned_runs.clear()
         for run in list(self.runs.values()):
-            self._leave(run, RunOutcome.LOST)
+            self._remove_run(run, RunOutcome.LOST)
 
-    def _note_replaced(self) -> None:
+    def _handle_replaced(self) -> None:
         if not self.silent:
             log.warning("worker_replaced worker=%s runs=%d", self.info.id, len(self.runs))
         self.silent = True
         self.replaced = True
-        self._leave_all()
+        self._abandon_runs()
 
-    def _note_fenced(self) -> None:
+    def _handle_fenced(self) -> None:
         self.fenced = True
         self._observer.on_fenced(self)
 
