--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -1,8 +1,8 @@
-"""A platform held in memory: store, workers and network with faults, for tests of the dispatcher.
+"""In-memory platform for dispatcher tests: store, workers and network with injected faults.
 
-It judges what workers see: two runs of a task at the same time, starts by order of a lower
-fencing token, starts of jobs whose callers were all told that nothing runs, starts on workers that
-have said for a while that they leave.
+Workers reject calls under a lower fencing token. The world records violations: two concurrent runs
+of a task, starts of jobs that were refused to all callers, and starts on workers whose leave notice
+has expired.
 """
 
 from __future__ import annotations
@@ -51,10 +51,10 @@
 )
 
 LATENCY_S = 0.001
-STORE_S = 0.004
+STORE_LATENCY_S = 0.004
 MAX_LEASE_S = 1.0
-STOP_S = 0.04
-# A worker that has said that it leaves gets nothing new after this many seconds.
+STOP_LATENCY_S = 0.04
+# A leaving worker must get no new tasks after this time.
 LEAVE_NOTICE_S = 2.0
 
 
@@ -65,12 +65,12 @@
     task: TaskId
     number: int
     started_at: float
-    ends: asyncio.TimerHandle | None
+    end_timer: asyncio.TimerHandle | None
 
 
 @dataclass
 class FakeWorker:
-    """A worker: fencing token, lease of everything that runs, list of ends."""
+    """A worker with a fencing token, one lease for all its runs and a list of ended runs."""
 
     world: World
     info: WorkerInfo
@@ -82,7 +82,7 @@
     lease_end: float = 0.0
     runs: dict[TaskId, FakeRun] = field(default_factory=dict)
     ended: list[EndedRun] = field(default_factory=list)
-    highest: dict[TaskId, int] = field(default_factory=dict)
+    highest_run_by_task: dict[TaskId, int] = field(default_factory=dict)
     count: int = 0
     changed: asyncio.Event = field(default_factory=asyncio.Event)
     lease_timer: asyncio.TimerHandle | None = None
@@ -107,9 +107,9 @@
         self.lease_end = end
         if self.lease_timer:
             self.lease_timer.cancel()
-        self.lease_timer = self.world.loop.call_at(end, self.lapse)
+        self.lease_timer = self.world.loop.call_at(end, self.expire_lease)
 
-    def lapse(self) -> None:
+    def expire_lease(self) -> None:
         for run in list(self.runs.values()):
             self.end(run, EndKind.LAPSED)
 
@@ -123,33 +123,33 @@
             return StartReply(status=StartStatus.TOO_LATE, clock_ms=self.clock_ms())
         if order.task in self.runs and self.runs[order.task].number == order.run:
             return StartReply(status=StartStatus.STARTED, clock_ms=self.clock_ms())
-        if order.run <= self.highest.get(order.task, 0):
+        if order.run <= self.highest_run_by_task.get(order.task, 0):
             return StartReply(status=StartStatus.SUPERSEDED, clock_ms=self.clock_ms())
         if self.world.guarded and self.world.cpu_of(order.task) > self.free_cpu():
             return StartReply(status=StartStatus.NO_ROOM, clock_ms=self.clock_ms())
         self.extend(order.deadline_ms)
-        self.highest[order.task] = order.run
+        self.highest_run_by_task[order.task] = order.run
         self.world.note_start(self, order)
         run_s = self.run_s(order.task)
         kind = EndKind.FAILED if self.fails_all else EndKind.DONE
         run = FakeRun(order.task, order.run, self.world.loop.time(), None)
         self.runs[order.task] = run
         if not self.hangs:
-            run.ends = self.world.loop.call_later(run_s, self.end, run, kind)
+            run.end_timer = self.world.loop.call_later(run_s, self.end, run, kind)
         return StartReply(status=StartStatus.STARTED, clock_ms=self.clock_ms())
 
     def stop(self, task: TaskId, number: int) -> None:
-        self.highest[task] = max(self.highest.get(task, 0), number)
+        self.highest_run_by_task[task] = max(self.highest_run_by_task.get(task, 0), number)
         run = self.runs.get(task)
         if run is not None and run.number <= number:
-            self.world.loop.call_later(STOP_S, self.end, run, EndKind.STOPPED)
+            self.world.loop.call_later(STOP_LATENCY_S, self.end, run, EndKind.STOPPED)
 
     def end(self, run: FakeRun, kind: EndKind) -> None:
         if self.runs.get(run.task) is not run:
             return
         del self.runs[run.task]
-        if run.ends:
-            run.ends.cancel()
+        if run.end_timer:
+            run.end_timer.cancel()
         self.count += 1
         self.ended.append(EndedRun(number=self.count, task=run.task, run=run.number, kind=kind))
         if kind is EndKind.DONE:
@@ -165,7 +165,7 @@
                 async with asyncio.timeout(wait_s):
                     await self.changed.wait()
             except TimeoutError:
-                pass  # Nothing ended while the call waited.
+                pass  # No run ended while the call waited.
         now = self.world.loop.time()
         rows = [
             ActiveRun(task=r.task, run=r.number, percent=self.percent(r, now))
@@ -182,16 +182,16 @@
         return self.world.run_s_by_job.get(task.job, 0.2) * self.slowness
 
     def crash(self) -> None:
-        """Lose everything; another life at the address has another id."""
+        """Stop and lose all runs; a restarted worker at this address gets another id."""
         for run in list(self.runs.values()):
-            if run.ends:
-                run.ends.cancel()
+            if run.end_timer:
+                run.end_timer.cancel()
         self.runs.clear()
         self.alive = False
 
 
 class World(WorkerClient):
-    """All of the platform, and the network between it and the entries."""
+    """The platform, the entries and the network between them."""
 
     def __init__(self) -> None:
         self.loop: asyncio.AbstractEventLoop
@@ -216,15 +216,15 @@
         self.lose_every_nth_hold: int = 0
         self.holds: int = 0
         self.late_start_s: dict[str, float] = {}
-        # Seconds that a call to a worker and its answer take of the caller's link, and until when
-        # each link is taken.
+        # Time for which a call to a worker and its answer occupy the caller's link, and the time
+        # until which each link is occupied.
         self.link_busy_s_per_call: float = 0.0
         self.link_free_at: dict[str, float] = defaultdict(float)
-        # Seconds that it takes to list the workers: a large pool takes several pages.
+        # Time to list the workers: the list of a large pool has several pages.
         self.listing_s: float = 0.0
-        # Whether workers refuse what they have no room for.
+        # Whether workers refuse tasks that exceed their capacity.
         self.guarded: bool = True
-        # Seconds for which VMs were suspended; the loop's clock does not count them.
+        # Time for which VMs were suspended, not included in the event loop's clock.
         self.suspended_s: dict[str, float] = defaultdict(float)
         self.delayed_links: set[tuple[str, str]] = set()
         self.late_envelopes: list[tuple[str, Envelope]] = []
@@ -237,7 +237,7 @@
     async def open(
         self, *, zones: str = "abc", entries: int = 2, workers: int = 2, cores: float = 1.0
     ) -> None:
-        """Start entries and workers in each zone, and wait until there is an owner."""
+        """Start entries and workers in each zone and wait for the election of an owner."""
         self.loop = asyncio.get_running_loop()
         self.store_changed = asyncio.Event()
         for zone in zones:
@@ -250,17 +250,17 @@
         await asyncio.sleep(3)
 
     async def open_cells(self, *, entries: int = 3, workers: int = 8) -> None:
-        """Open a pool of three domains that is too large for one owner, and wait for three."""
+        """Open a pool of three domains, too large for one owner, and wait for three owners."""
         await self.open(entries=entries, workers=workers, cores=workers / 50)
         await asyncio.sleep(5)
         assert len(self.owners()) == 3, self.owners()
 
     def owner_in(self, zone: str) -> str:
-        """Return the owner of the cell of a zone."""
+        """Return the name of the owner of a zone's cell."""
         return next(name for name in self.owners() if self.nodes[name].me.zone == zone)
 
     def entry_in(self, zone: str) -> str:
-        """Return an entry of a zone that owns nothing."""
+        """Return the name of an entry of a zone that is no owner."""
         names = [name for name, node in self.nodes.items() if node.me.zone == zone]
         return next(name for name in names if name not in self.owners())
 
@@ -282,13 +282,13 @@
         self._append(Topic.WORKERS, key, msgspec.json.encode(info) if info else b"")
 
     def resize(self, worker_id: str, *, cpu: int) -> None:
-        """Let a worker's capacity shrink or grow while it runs."""
+        """Change a worker's capacity while it runs."""
         worker = self.workers[worker_id]
         worker.info = msgspec.structs.replace(worker.info, cpu=cpu)
         self.list_worker(worker.info)
 
     def leave(self, worker_id: str) -> None:
-        """Let a worker say that it leaves."""
+        """Announce that a worker leaves."""
         worker = self.workers[worker_id]
         worker.info = msgspec.structs.replace(worker.info, draining=True)
         self.list_worker(worker.info)
@@ -300,13 +300,13 @@
         self._append(Topic.CONFIGURATION, "config", msgspec.json.encode(configuration))
 
     def evacuate(self, *zones: str) -> None:
-        """Ask as an operator that the workers of zones get nothing new."""
+        """Evacuate zones as an operator: their workers get no new tasks."""
         for zone in zones:
             self._append(Topic.CONFIGURATION, f"evacuate/{zone}", b"{}")
             self.evacuated_at_by_zone[zone] = self.loop.time()
 
     def restore(self, *zones: str) -> None:
-        """Take the evacuation of zones back."""
+        """End the evacuation of zones."""
         for zone in zones:
             self._append(Topic.CONFIGURATION, f"evacuate/{zone}", b"")
             self.evacuated_at_by_zone.pop(zone, None)
@@ -323,8 +323,8 @@
         node = Node(
             me=me,
             store=FakeStore(world=self, name=name),
-            workers=CallsFrom(world=self, name=name, zone=zone),
-            peers=PeersOf(world=self, name=name, zone=zone),
+            workers=FakeWorkerClient(world=self, name=name, zone=zone),
+            peers=FakePeerClient(world=self, name=name, zone=zone),
             limits=Limits(),
             clock=lambda: self.loop.time() + self.suspended_s[name],
         )
@@ -341,14 +341,14 @@
     # -- faults -----------------------------------------------------------------------------
 
     def cut(self, one: str, other: str) -> None:
-        """Part two places: names of zones, entries, workers or ``store``."""
+        """Partition two endpoints: names of zones, entries, workers or ``store``."""
         self.cuts.add(frozenset((one, other)))
 
     def heal(self) -> None:
         self.cuts.clear()
 
     async def heal_and_relist(self, zone: str) -> None:
-        """End all cuts; the workers of a zone are back in the list a moment later."""
+        """End all partitions; the workers of a zone are listed again after 0.5 s."""
         self.heal()
         await asyncio.sleep(0.5)
         for worker in self.workers.values():
@@ -356,7 +356,7 @@
                 self.list_worker(worker.info)
 
     def unlist_zone(self, zone: str) -> None:
-        """Let the entries of a zone's workers lapse in the store."""
+        """Let the store records of a zone's workers expire."""
         for worker in self.workers.values():
             if worker.info.zone == zone:
                 self.list_worker(None, worker_id=worker.info.id)
@@ -367,10 +367,10 @@
         for other in zones - {zone}:
             self.cut(zone, other)
 
-    def parted(self, one: tuple[str, ...], other: tuple[str, ...]) -> bool:
+    def is_partitioned(self, one: tuple[str, ...], other: tuple[str, ...]) -> bool:
         return any(frozenset((a, b)) in self.cuts for a in one for b in other if a != b)
 
-    # -- judging ----------------------------------------------------------------------------
+    # -- violations -------------------------------------------------------------------------
 
     def cpu_of(self, task: TaskId) -> int:
         return self.cpu_by_job.get(task.job, 27_000)
@@ -381,7 +381,7 @@
         leaving_s = now - self.leaving_since_by_worker.get(worker.info.id, now)
         if leaving_s > LEAVE_NOTICE_S:
             self.violations.append(
-                f"{now:.3f}: {order.task} starts on {worker.info.id}, which leaves since "
+                f"{now:.3f}: {order.task} started on {worker.info.id}, which has been leaving for "
                 f"{leaving_s:.3f} s"
             )
         for other in self.workers.values():
@@ -392,7 +392,7 @@
                 )
 
     def starts_in(self, zone: str, *, since: float) -> list[str]:
-        """Return the workers of a zone that were told to start something since a moment."""
+        """Return the workers of a zone with starts since a time, one item for each start."""
         return [
             worker
             for at, worker, _, _ in self.starts
@@ -409,12 +409,12 @@
         try:
             outcome = await call
         except asyncio.CancelledError:
-            # The caller's connection broke, so it knows nothing.
-            outcome = Outcome(verdict=Verdict.UNKNOWN, reason="connection broke")
+            # The caller's connection was closed, so it does not learn the outcome.
+            outcome = Outcome(verdict=Verdict.UNKNOWN, reason="connection closed")
         self.verdicts_by_job[job.id].add(outcome.verdict)
         started = any(task.job == job.id for _, _, task, _ in self.starts)
         if self.verdicts_by_job[job.id] == {Verdict.REFUSED} and started:
-            self.violations.append(f"{job.id} refused as not run, but a task was started")
+            self.violations.append(f"{job.id} was refused, but one of its tasks was started")
         return outcome
 
     # -- the store --------------------------------------------------------------------------
@@ -428,7 +428,7 @@
     # -- calls between entries --------------------------------------------------------------
 
     def deliver_late(self) -> None:
-        """Deliver what was held back on slow ways; the senders have given it up."""
+        """Deliver the delayed envelopes, whose senders have already timed out."""
         self.delayed_links.clear()
         for address, envelope in self.late_envelopes:
             self.nodes[address].receive(envelope)
@@ -439,8 +439,8 @@
         await asyncio.sleep(LATENCY_S)
         node = self.nodes.get(address)
         if node is None:
-            raise PeerCallError("nobody listens")
-        if self.parted(sender, (node.me.name, node.me.zone)):
+            raise PeerCallError("connection refused")
+        if self.is_partitioned(sender, (node.me.name, node.me.zone)):
             await asyncio.sleep(timeout_s)
             raise PeerCallError("no answer")
         envelope = msgspec.json.decode(msgspec.json.encode(envelope), type=type(envelope))
@@ -462,7 +462,7 @@
         raise NotImplementedError
 
 
-class PeersOf(PeerClient):
+class FakePeerClient(PeerClient):
     """Calls to other entries from one entry."""
 
     def __init__(self, *, world: World, name: str, zone: str) -> None:
@@ -478,22 +478,22 @@
         await asyncio.sleep(LATENCY_S)
         node = self._world.nodes.get(address)
         if node is None:
-            raise PeerCallError("nobody listens")
-        if self._world.parted(self._me, (address, node.me.zone)):
+            raise PeerCallError("connection refused")
+        if self._world.is_partitioned(self._me, (address, node.me.zone)):
             await asyncio.sleep(timeout_s)
             raise PeerCallError("no answer")
         return msgspec.json.decode(node.configurations.encode(), type=Configuration)
 
 
-class CallsFrom(WorkerClient):
-    """Calls to workers from one entry."""
+class FakeWorkerClient(WorkerClient):
+    """Worker client of one entry."""
 
     def __init__(self, *, world: World, name: str, zone: str) -> None:
         self._world = world
         self._me = (name, zone)
 
     async def _use_link(self) -> None:
-        """Wait in the queue of this entry's link; an answer that nobody waits for takes it, too."""
+        """Wait for the entry's link, which also carries answers to calls that have timed out."""
         world, name = self._world, self._me[0]
         if not world.link_busy_s_per_call:
             return
@@ -506,7 +506,7 @@
         await asyncio.sleep(LATENCY_S)
         worker = self._world.workers.get(info.address)
         there = (info.address, info.zone)
-        if worker is None or not worker.alive or self._world.parted(self._me, there):
+        if worker is None or not worker.alive or self._world.is_partitioned(self._me, there):
             await asyncio.sleep(timeout_s)
             raise WorkerCallError("no answer")
         return worker
@@ -545,7 +545,7 @@
         if not self._world.link_busy_s_per_call:
             return await call
         answer = asyncio.ensure_future(call)
-        # Given up or not, the answer comes and takes its time on the link.
+        # The answer arrives and occupies the link even if the call has timed out.
         done, _ = await asyncio.wait({answer}, timeout=timeout_s)
         if not done:
             answer.add_done_callback(lambda ended: ended.cancelled() or ended.exception())
@@ -563,8 +563,8 @@
             self._world.lose_every_nth_hold
             and self._world.holds % self._world.lose_every_nth_hold == 0
         )
-        parted = self._world.parted(self._me, (worker.address, worker.zone))
-        if lost or parted or not target.alive:
+        is_partitioned = self._world.is_partitioned(self._me, (worker.address, worker.zone))
+        if lost or is_partitioned or not target.alive:
             await asyncio.sleep(called_at + timeout_s - self._world.loop.time())
             raise WorkerCallError("no answer")
         target.check(worker.id, fence)
@@ -579,12 +579,12 @@
         self._name = name
 
     async def _reach(self) -> None:
-        await asyncio.sleep(STORE_S)
+        await asyncio.sleep(STORE_LATENCY_S)
         node = self._world.nodes.get(self._name)
         zone = node.me.zone if node else ""
         if self._name in self._world.store_down_for:
-            raise StoreUnavailableError("turned away")
-        if self._world.parted((self._name, zone), ("store",)):
+            raise StoreUnavailableError("call rejected")
+        if self._world.is_partitioned((self._name, zone), ("store",)):
             await asyncio.sleep(0.5)
             raise StoreUnavailableError("no answer")
 
--- a/tests/test_pool_faults.py
+++ b/tests/test_pool_faults.py
@@ -1,4 +1,4 @@
-"""Faults at workers and in series: what is in doubt, lost, slow, and random days."""
+"""Worker faults (lost orders, silent, failing and leaving workers) and random series of faults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def run(world: World, job_id: str, *, within_s: float = 10, **fields) -> Verdict:
-    """Hand a job in at any entry and return its verdict."""
+    """Submit a job to an entry and return its verdict."""
     entry = sorted(world.nodes)[0]
     world.run_s_by_job[job_id] = fields.get("run_ms", 200) / 1000
     async with asyncio.timeout(within_s):
@@ -28,8 +28,8 @@
 
 
 async def test_a_start_whose_answer_is_lost_runs_once(world: World):
-    # Symptom: a page is embossed twice. Sequence: the worker begins a run and its answer is
-    # lost. Cause: no answer is taken for no start.
+    # Guards against a second run of a task whose worker started it, but whose answer to the start
+    # order was lost.
     await world.open()
     world.lose_start_answers.update(world.workers)
     assert_that(await run(world, "job", count=4, run_ms=600), Equals(Verdict.SUCCEEDED))
@@ -37,9 +37,8 @@
 
 
 async def test_a_start_that_is_carried_out_late_is_refused(world: World):
-    # Symptom: a task runs beside its second run. Sequence: a start gets no answer and reaches
-    # the worker 2 s later; meanwhile the task was started elsewhere.
-    # Cause: the worker takes the order, since nothing in it says until when it holds.
+    # Guards against concurrent runs of a task. A start order without an answer reaches the worker
+    # 2 s late, after the task was started elsewhere. The worker must refuse the expired order.
     await world.open()
     bad = list(world.workers)[:3]
     world.drop_starts.update(bad)
@@ -49,11 +48,9 @@
 
 
 async def test_a_lost_start_costs_little_time(world: World):
-    # Symptom: jobs of 60 ms take half a second while a few orders in a hundred get lost.
-    # Sequence: a start is not answered; the owner waits until the worker would refuse it as late,
-    # and then for the worker's next answer to a hold.
-    # Cause: the end of the order's validity is the only thing that proves that it never begins. A
-    # stop that is answered proves it at once: the worker refuses that run from then on.
+    # Guards against jobs of 60 ms that take half a second while a few percent of the orders are
+    # lost. The owner must not wait for the expiry of an unanswered start order and the next answer
+    # to a hold: an acknowledged stop proves at once that the run can no longer start.
     await world.open(workers=1)
     bad = sorted(world.workers)[0]
     world.drop_starts.add(bad)
@@ -64,11 +61,10 @@
     await asyncio.sleep(3)
 
 
-async def test_a_worker_that_lost_one_start_serves_on(world: World):
-    # Symptom: the pool has too little room while a few orders in a hundred get lost.
-    # Sequence: a start is not answered; its worker gets nothing new until it has answered a hold,
-    # which waits for an end for up to a quarter of a second.
-    # Cause: one order without an answer counts as a worker that does not answer.
+async def test_a_worker_that_lost_one_start_stays_in_use(world: World):
+    # Guards against a loss of capacity while a few percent of the orders are lost. A single
+    # unanswered order must not exclude its worker until the next answer to a hold, which may wait
+    # for an ended run for up to a quarter of a second.
     await world.open(zones="a", entries=2, workers=1)
     worker = sorted(world.workers)[0]
     world.drop_starts.add(worker)
@@ -82,8 +78,8 @@
 
 
 async def test_tasks_of_a_silent_worker_wait_until_its_lease_has_lapsed(world: World):
-    # Symptom: a task runs twice at the same time. Sequence: a worker is cut off and runs on
-    # until its lease lapses. Cause: the task is started elsewhere as soon as the worker is silent.
+    # Guards against concurrent runs of a task. A partitioned worker runs its tasks until its lease
+    # expires, so they must not be started elsewhere as soon as the worker is silent.
     await world.open()
     job = asyncio.ensure_future(run(world, "job", count=8, run_ms=1800))
     await asyncio.sleep(0.3)
@@ -94,9 +90,9 @@
     assert_that(len(world.starts), GreaterThan(8))
 
 
-async def test_tasks_of_a_crashed_worker_start_again_when_its_next_life_answers(world: World):
-    # Symptom: jobs wait for a lease of a worker that is back already. Sequence: a worker crashes
-    # and is back under another id. Cause: only the lapse of its lease counts.
+async def test_tasks_of_a_crashed_worker_start_again_when_it_has_restarted(world: World):
+    # Guards against waiting for the lease of a crashed worker that has already restarted under
+    # another id.
     await world.open()
     job = asyncio.ensure_future(run(world, "job", count=8, run_ms=900))
     await asyncio.sleep(0.3)
@@ -112,8 +108,8 @@
 
 
 async def test_a_leaving_worker_gets_nothing_new(world: World):
-    # Symptom: a task is lost with a worker that had said it would leave. Sequence: the worker
-    # reports that it drains; tasks wait. Cause: the list is read too rarely, or not heeded.
+    # Guards against losing tasks with a worker that had announced that it leaves, because the
+    # worker list is read too rarely or ignored.
     await world.open()
     leaving = list(world.workers.values())[:3]
     for worker in leaving:
@@ -124,9 +120,9 @@
     assert_that(used & {worker.info.id for worker in leaving}, Equals(set()))
 
 
-async def test_a_worker_that_fails_everything_does_not_draw_the_queue(world: World):
-    # Symptom: a third of all jobs fail. Sequence: one worker fails each task at once, so it
-    # always has room. Cause: it gets the next task for it.
+async def test_a_worker_that_fails_everything_does_not_attract_all_tasks(world: World):
+    # Guards against a third of all jobs failing. A worker that fails each task immediately always
+    # has free capacity and would attract the next task.
     await world.open()
     next(iter(world.workers.values())).fails_all = True
     for number in range(12):
@@ -135,9 +131,9 @@
     assert_that(sum(1 for _, worker_id, *_ in world.starts if worker_id == bad), LessThan(8))
 
 
-async def test_a_run_that_stands_still_starts_elsewhere(world: World):
-    # Symptom: a job is not answered for minutes. Sequence: a worker takes a task, renews its
-    # lease and makes no progress. Cause: a run that is listed counts as at work.
+async def test_a_run_without_progress_starts_elsewhere(world: World):
+    # Guards against a job without an answer for minutes, because a worker renews the lease of a
+    # run that makes no progress.
     await world.open()
     next(iter(world.workers.values())).hangs = True
     assert_that(await run(world, "job", count=12, within_s=5), Equals(Verdict.SUCCEEDED))
@@ -175,14 +171,14 @@
     assert_that(min(second) - max(first), GreaterThan(0.19))
 
 
-# Seconds between jobs, drawn at random. Jobs ask for half of the workers at the usual rate, and
-# for more than all of them, while some are cut off, at the dense one.
+# Ranges of the random pause between jobs. Jobs need half of the workers at the usual rate. At the
+# dense rate they need more than all of the workers while some are partitioned.
 USUAL_PAUSE_S = (0.05, 0.25)
 DENSE_PAUSE_S = (0.02, 0.12)
 
 
-class RandomDay:
-    """Random faults in series over a world, and jobs all the while."""
+class FaultSeries:
+    """Injects a random series of faults into a world under a constant load of jobs."""
 
     def __init__(self, world: World, seed: int, pause_s: tuple[float, float]) -> None:
         self.world = world
@@ -191,19 +187,19 @@
         self.jobs: list[asyncio.Task] = []
         self.number = 0
 
-    async def play(self, *, faults: int) -> None:
-        """Let faults come and go; all is well again at the end."""
-        feeder = asyncio.ensure_future(self._feed())
+    async def inject(self, *, faults: int) -> None:
+        """Inject faults, repair all of them and wait for the remaining jobs."""
+        submitter = asyncio.ensure_future(self._submit_jobs())
         for _ in range(faults):
             await self._fault()
             await asyncio.sleep(self.random.uniform(0.0, 1.5))
-        self._mend()
+        self._repair()
         await asyncio.sleep(4)
-        feeder.cancel()
+        submitter.cancel()
         _, unanswered = await asyncio.wait(self.jobs, timeout=8)
         assert_that(sorted(task.get_name() for task in unanswered), Equals([]))
 
-    async def _feed(self) -> None:
+    async def _submit_jobs(self) -> None:
         while True:
             await asyncio.sleep(self.random.uniform(*self.pause_s))
             self.number += 1
@@ -214,7 +210,7 @@
             self.jobs.append(asyncio.create_task(self._call(job), name=job_id))
 
     async def _call(self, job) -> None:
-        """Call as callers do: after no answer, the job is sent again to another entry."""
+        """Submit a job like a client, which retries at another entry if the outcome is unknown."""
         for _ in range(3):
             entry = self.random.choice(sorted(self.world.nodes))
             try:
@@ -248,7 +244,7 @@
             world.drop_starts = {victim}
             world.late_start_s = {victim: self.random.uniform(0.2, 3)}
         else:
-            self._mend()
+            self._repair()
 
     async def _restart(self, name: str, *, drain: bool) -> None:
         node = self.world.nodes[name]
@@ -258,7 +254,7 @@
         await asyncio.sleep(self.random.uniform(0.1, 1.0))
         self.world.add_node(name, node.me.zone)
 
-    def _mend(self) -> None:
+    def _repair(self) -> None:
         self.world.heal()
         self.world.store_down_for.clear()
         self.world.lose_start_answers.clear()
@@ -267,44 +263,43 @@
 
 
 def random_seeds() -> range:
-    """Return the seeds to play: few in CI, or FIRST:END of the variable RANDOM_DAYS."""
+    """Return the seeds to run: FIRST:END from the variable RANDOM_DAYS, or a few by default."""
     first, _, end = os.environ.get("RANDOM_DAYS", "1:13").partition(":")
     return range(int(first), int(end))
 
 
 @pytest.mark.parametrize("seed", random_seeds())
-async def test_random_days_keep_every_promise(world: World, seed: int):
+async def test_random_faults_violate_no_guarantee(world: World, seed: int):
     await world.open()
-    day = RandomDay(world, seed, USUAL_PAUSE_S)
-    await day.play(faults=8)
+    series = FaultSeries(world, seed, USUAL_PAUSE_S)
+    await series.inject(faults=8)
     assert_that(world.owners(), HasLength(1))
 
 
 @pytest.mark.parametrize("seed", [1, 10])
-async def test_random_days_with_dense_jobs_keep_every_promise(world: World, seed: int):
-    # Symptom: a job is never answered. Sequence: seed 1 lets a second stand-in rise with a lower
-    # fencing token; seed 10 sends more than the workers that are left can run.
-    # Cause: with seed 1, entries followed the higher of two tokens. With seed 10 overload, by its
-    # log: a job waited for room past the end of the day.
+async def test_random_faults_with_dense_jobs_violate_no_guarantee(world: World, seed: int):
+    # Guards against jobs without an answer. With seed 1, a second stand-in owner is elected with a
+    # lower fencing token, and entries that follow the higher token get no answer. With seed 10, the
+    # load exceeds the capacity of the remaining workers, and a job waits past the end of the test.
     await world.open()
-    day = RandomDay(world, seed, DENSE_PAUSE_S)
-    await day.play(faults=8)
+    series = FaultSeries(world, seed, DENSE_PAUSE_S)
+    await series.inject(faults=8)
     assert_that(world.owners(), HasLength(1))
 
 
 @pytest.mark.parametrize("seed", random_seeds())
-async def test_random_days_of_several_cells_keep_every_promise(world: World, seed: int):
+async def test_random_faults_in_several_cells_violate_no_guarantee(world: World, seed: int):
     await world.open_cells(workers=3)
-    day = RandomDay(world, seed, USUAL_PAUSE_S)
-    await day.play(faults=8)
+    series = FaultSeries(world, seed, USUAL_PAUSE_S)
+    await series.inject(faults=8)
     assert_that(world.owners(), HasLength(3))
 
 
-class EvacuationDay(RandomDay):
-    """A random day on which operators evacuate failure domains and take it back, too.
+class EvacuationFaultSeries(FaultSeries):
+    """A series of faults during which operators also evacuate and restore failure domains.
 
-    :ivar spans: by zone, from when to when it was evacuated.
-    :ivar calm_spans: spans without any fault.
+    :ivar spans: evacuated zones with start and end of the evacuation.
+    :ivar calm_spans: start and end of the periods without faults.
     """
 
     def __init__(self, world: World, seed: int) -> None:
@@ -329,8 +324,8 @@
         else:
             self.world.evacuate(zone)
 
-    def _mend(self) -> None:
-        super()._mend()
+    def _repair(self) -> None:
+        super()._repair()
         self._disturbed = False
         self._calm_since = self.world.loop.time()
 
@@ -344,7 +339,10 @@
         self.spans.append((zone, began_at, self.world.loop.time()))
 
     def wrong_starts(self) -> list[tuple[float, str]]:
-        """Return the starts on evacuated workers in calm times, a while after both began."""
+        """Return the starts on evacuated workers in periods without faults.
+
+        Starts shortly after the begin of the evacuation or of the period are left out.
+        """
         self._end_calm()
         for zone in list(self.world.evacuated_at_by_zone):
             self._note_span(zone)
@@ -359,31 +357,32 @@
         ]
 
 
-# An evacuation is in force after so many seconds where nothing is wrong, and a fault is over.
+# Time until an evacuation takes effect without faults, and time until the pool has recovered from
+# a fault.
 EVACUATED_WITHIN_S = 0.5
 CALM_AFTER_S = 2.0
 
 
 @pytest.mark.parametrize("seed", random_seeds())
-async def test_random_days_with_evacuations_keep_every_promise(world: World, seed: int):
+async def test_random_faults_with_evacuations_violate_no_guarantee(world: World, seed: int):
     await world.open()
-    day = EvacuationDay(world, seed)
-    await day.play(faults=10)
-    assert_that(day.wrong_starts(), Equals([]))
+    series = EvacuationFaultSeries(world, seed)
+    await series.inject(faults=10)
+    assert_that(series.wrong_starts(), Equals([]))
 
 
 @pytest.mark.parametrize("seed", random_seeds())
-async def test_random_days_of_several_cells_with_evacuations_keep_every_promise(
+async def test_random_faults_in_several_cells_with_evacuations_violate_no_guarantee(
     world: World, seed: int
 ):
     await world.open_cells(workers=3)
-    day = EvacuationDay(world, seed)
-    await day.play(faults=10)
-    assert_that(day.wrong_starts(), Equals([]))
+    series = EvacuationFaultSeries(world, seed)
+    await series.inject(faults=10)
+    assert_that(series.wrong_starts(), Equals([]))
 
 
-class LeavingDay(RandomDay):
-    """A random day on which workers leave and owners are lost about when their notice ends."""
+class LeavingFaultSeries(FaultSeries):
+    """A series in which workers leave and owners fail around the end of the workers' notice."""
 
     async def _fault(self) -> None:
         staying = sorted(self.world.workers.keys() - self.world.leaving_since_by_worker.keys())
@@ -393,7 +392,7 @@
         await self._restart(self.random.choice(self.world.owners()), drain=False)
 
     def _replace(self, worker_id: str) -> None:
-        """Let a worker leave, and another one come in its place."""
+        """Announce that a worker leaves and add its replacement."""
         world, zone = self.world, self.world.workers[worker_id].info.zone
         world.leave(worker_id)
         world.add_worker(f"{worker_id}+", zone)
@@ -405,6 +404,6 @@
 
 
 @pytest.mark.parametrize("seed", random_seeds())
-async def test_random_days_with_leaving_workers_keep_every_promise(world: World, seed: int):
+async def test_random_faults_with_leaving_workers_violate_no_guarantee(world: World, seed: int):
     await world.open()
-    await LeavingDay(world, seed, DENSE_PAUSE_S).play(faults=6)
+    await LeavingFaultSeries(world, seed, DENSE_PAUSE_S).inject(faults=6)
