--- a/zincwell/dispatch/decisions/__init__.py
+++ b/zincwell/dispatch/decisions/__init__.py
@@ -16,6 +16,13 @@
     MAX_ANSWER_TIMEOUT_S,
     AnswerTimeoutEstimator,
 )
+from zincwell.dispatch.decisions._cell_selection import (
+    NO_WORKERS_BACKLOG_S,
+    SUSPECT_AFTER_S,
+    CellState,
+    choose_other_cell,
+    should_use_home_cell,
+)
 from zincwell.dispatch.decisions._cells import (
     WORKERS_PER_CORE,
     CellShape,
@@ -23,21 +30,14 @@
     plan_cells,
 )
 from zincwell.dispatch.decisions._forecast import Demand, FreeCores, Projection, Replay
-from zincwell.dispatch.decisions._load import OfferedLoad
+from zincwell.dispatch.decisions._offered_load import OfferedLoad
 from zincwell.dispatch.decisions._polling import (
     MAX_LOOP_LAG_S,
     AnswerLossDetector,
     choose_long_poll_wait_s,
     min_poll_interval_s,
 )
-from zincwell.dispatch.decisions._runtimes import SLOW_WORKER, RunTimes
-from zincwell.dispatch.decisions._spread import (
-    NO_WORKERS_BACKLOG_S,
-    SUSPECT_AFTER_S,
-    CellState,
-    choose_other_cell,
-    should_use_home_cell,
-)
+from zincwell.dispatch.decisions._run_time_estimates import SLOW_WORKER, RunTimes
 from zincwell.dispatch.decisions._stragglers import (
     MIN_PROGRESS_PERCENT,
     is_slow_run,
