--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -1,4 +1,4 @@
-"""Slow answers are not taken for lost ones."""
+"""Timeouts of worker calls: slow answers do not count as lost ones."""
 
 from __future__ import annotations
 
@@ -19,41 +19,41 @@
 )
 
 
-def test_patience_follows_what_answers_take():
-    times = AnswerTimeoutEstimator()
-    assert_that(times.answer_timeout_s(), Equals(0.25))
+def test_the_timeout_follows_answer_times():
+    estimator = AnswerTimeoutEstimator()
+    assert_that(estimator.answer_timeout_s(), Equals(0.25))
     for _ in range(20):
-        times.note(0.003)
-    assert_that(times.answer_timeout_s(), Equals(0.02))
+        estimator.note(0.003)
+    assert_that(estimator.answer_timeout_s(), Equals(0.02))
     for _ in range(5):
-        times.note(0.065)
-    assert_that(times.answer_timeout_s(), GreaterThan(0.065))
+        estimator.note(0.065)
+    assert_that(estimator.answer_timeout_s(), GreaterThan(0.065))
     for _ in range(60):
-        times.note(0.003)
-    assert_that(times.answer_timeout_s(), Equals(0.02))
+        estimator.note(0.003)
+    assert_that(estimator.answer_timeout_s(), Equals(0.02))
 
 
-def test_patience_doubles_with_each_call_that_is_given_up():
-    times = AnswerTimeoutEstimator()
-    times.note(0.003)
-    times.note_timeout()
-    assert_that(times.answer_timeout_s(), Equals(0.04))
+def test_the_timeout_doubles_with_each_call_that_times_out():
+    estimator = AnswerTimeoutEstimator()
+    estimator.note(0.003)
+    estimator.note_timeout()
+    assert_that(estimator.answer_timeout_s(), Equals(0.04))
     for _ in range(9):
-        times.note_timeout()
-    assert_that(times.answer_timeout_s(), Equals(0.25))
-    times.note(0.003)
-    assert_that(times.answer_timeout_s(), Equals(0.02))
+        estimator.note_timeout()
+    assert_that(estimator.answer_timeout_s(), Equals(0.25))
+    estimator.note(0.003)
+    assert_that(estimator.answer_timeout_s(), Equals(0.02))
 
 
-def test_a_slow_answer_is_none_that_was_lost():
-    losses = AnswerLossDetector()
+def test_a_slow_answer_does_not_count_as_lost():
+    detector = AnswerLossDetector()
     for at in (1.0, 1.1, 1.2, 1.3):
-        losses.note_timeout(at, late_s=0.0, answer_timeout_s=0.02, next_answer_s=0.065)
-    assert_that(losses.is_lossy(1.3), Equals(False))
+        detector.note_timeout(at, late_s=0.0, answer_timeout_s=0.02, next_answer_s=0.065)
+    assert_that(detector.is_lossy(1.3), Equals(False))
 
 
-def test_asking_takes_a_bounded_share_of_the_processor():
-    # 48 workers, an eighth of a core: 62 calls a second take a quarter of it.
+def test_polling_takes_a_bounded_share_of_the_processor():
+    # 48 workers polled with an eighth of a core: 62 polls a second take a quarter of it.
     min_wait_s = min_poll_interval_s(workers=48, cores=0.125)
     assert_that(48 / min_wait_s * 0.0005, LessThan(0.25 * 0.125 + 1e-9))
     wait_s = choose_long_poll_wait_s(
@@ -64,22 +64,21 @@
 
 
 @pytest.mark.looptime
-async def test_a_narrow_link_recovers_from_a_moment_in_which_it_was_full(world: World):
-    # Symptom: nothing is served in time for as long as the traffic lasts, and the owner's link is
-    # full. Sequence: for a third of a second something else takes the link. Calls to workers wait
-    # behind it, are given up after 20 ms, and count as lost; from then on each worker is asked
-    # four to eight times as often, which the link does not carry, so answers stay slow.
-    # Cause: slow answers are taken for lost ones, and the reply to that is to ask more often.
+async def test_a_narrow_link_recovers_after_a_short_saturation(world: World):
+    # Other traffic fills the owner's link for a third of a second, and calls to workers queue up
+    # behind it. If calls that time out after 20 ms counted as lost, each worker would be polled
+    # four to eight times as often from then on. The link can't carry that, so answers would stay
+    # slow and no job would be in time for as long as the load lasts.
     await world.open(workers=8)
     world.link_busy_s_per_call = 0.003
     owner = world.owners()[0]
     await asyncio.sleep(2)
     world.link_free_at[owner] = world.loop.time() + 0.3
     await asyncio.sleep(3)
-    asked = world.holds
+    polls_before = world.holds
     await asyncio.sleep(2)
-    # 24 workers, each asked anew after 0.25 s.
-    assert_that((world.holds - asked) / 2, LessThan(120))
+    # 24 workers, each polled again after 0.25 s.
+    assert_that((world.holds - polls_before) / 2, LessThan(120))
     began_at = world.loop.time()
     jobs = [submit(world, other_than(world, owner), f"job-{n}", run_ms=60) for n in range(4)]
     await finish(jobs)
--- a/zincwell/dispatch/_health.py
+++ b/zincwell/dispatch/_health.py
@@ -1,4 +1,4 @@
-"""Workers that fail what others do, or let runs stand still."""
+"""Health of workers, judged by their runs: failing, stalled and slow workers."""
 
 from __future__ import annotations
 
@@ -10,33 +10,34 @@
 from zincwell.dispatch._runs import Run, RunOutcome
 from zincwell.dispatch._worker_session import WorkerSession
 from zincwell.dispatch.decisions import (
-    SLOW_WORKER,
+    SLOW_WORKER_RATIO,
+    is_move_worthwhile,
     is_slow_run,
     is_slow_worker,
     is_stalled,
-    pays_to_move,
 )
 
 log = logging.getLogger("zincwell.health")
 
-# A worker that failed tasks of this many jobs in a row, while others succeed, is set aside.
-FAILURES_TO_SET_ASIDE = 2
-SET_ASIDE_S = 2.0
-# At most this share of the workers is set aside, so that bad jobs don't empty the pool.
-MAX_SHARE_ASIDE = 0.34
-# A worker that is slow, or lets a run stand still, gets nothing for this long, and then one run
-# at a time until one shows that it is well again. Such workers are ill for seconds.
-SLOW_ASIDE_S = 1.0
-# At most this share of the workers is set aside for it: if most are slow, that is how it is.
-MAX_SHARE_SLOW = 0.5
+# A worker that failed tasks of this many jobs without a success in between is quarantined.
+FAILED_JOBS_TO_QUARANTINE = 2
+FAILURE_QUARANTINE_S = 2.0
+# Failures quarantine no worker if more than this share of all would then be in quarantine, so that
+# jobs that always fail don't empty the pool.
+MAX_QUARANTINED_SHARE = 0.34
+# A slow or stalled worker gets no runs for this many seconds, and then one at a time until one
+# shows that it has recovered. Such a state lasts for seconds.
+SLOW_QUARANTINE_S = 1.0
+# At most this share of the workers counts as slow: if most are slow, their speed is the norm.
+MAX_SLOW_SHARE = 0.5
 
 
 class WorkerHealthMonitor:
-    """Sets workers aside by what becomes of their runs.
+    """Quarantines unhealthy workers and moves runs away from them.
 
-    :param sessions_by_id: the owner's workers.
-    :param on_capacity_available: called when a worker that was set aside may be tried again.
-    :param expect_s: returns how long the task of a run takes on a usual worker.
+    :param sessions_by_id: sessions with the owner's workers.
+    :param on_capacity_available: called when the quarantine of a worker has ended.
+    :param expect_s: returns how long the task of a run takes on a typical worker.
     :param moves_of: returns how often the task of a run was moved already.
     """
 
@@ -50,17 +51,17 @@
         metrics: Metrics,
     ) -> None:
         self._sessions_by_id = sessions_by_id
-        self._on_room = on_capacity_available
+        self._on_capacity_available = on_capacity_available
         self._expect_s = expect_s
         self._moves_of = moves_of
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
     def note_end(self, session: WorkerSession, run: Run, outcome: RunOutcome) -> None:
-        """Set a worker aside that fails what others do.
+        """Record the end of a run, and quarantine a worker that fails tasks of several jobs.
 
-        A worker that fails everything at once looks idle and would draw the whole queue. Failures
-        of one job count once, so that a job that can't be done does not set workers aside.
+        A worker that fails every run immediately looks idle and would attract the whole queue.
+        Failures of one job count once, so that a job that always fails quarantines no worker.
         """
         if outcome is RunOutcome.DONE:
             session.failed_jobs.clear()
@@ -68,21 +69,23 @@
         if outcome is not RunOutcome.FAILED:
             return
         session.failed_jobs.add(run.task.job)
-        if len(session.failed_jobs) < FAILURES_TO_SET_ASIDE:
+        if len(session.failed_jobs) < FAILED_JOBS_TO_QUARANTINE:
             return
         now = self._loop.time()
-        aside = sum(1 for other in self._sessions_by_id.values() if other.quarantined_until > now)
-        if aside + 1 > MAX_SHARE_ASIDE * len(self._sessions_by_id):
+        quarantined = sum(
+            1 for other in self._sessions_by_id.values() if other.quarantined_until > now
+        )
+        if quarantined + 1 > MAX_QUARANTINED_SHARE * len(self._sessions_by_id):
             return
         self._metrics.count("workers_set_aside", 'reason="failing"')
         log.warning("worker_set_aside worker=%s reason=failing", session.info.id)
-        session.quarantined_until = now + SET_ASIDE_S
-        self._loop.call_later(SET_ASIDE_S, self._on_room)
+        session.quarantined_until = now + FAILURE_QUARANTINE_S
+        self._loop.call_later(FAILURE_QUARANTINE_S, self._on_capacity_available)
 
     def check_progress(self, session: WorkerSession, clock_ms: int) -> None:
-        """Set a worker aside that is slow or stands still, and move what pays to be moved.
+        """Quarantine a stalled or slow worker; move its stalled runs, or slow ones if worthwhile.
 
-        :param clock_ms: when it showed its runs, on its own clock.
+        :param clock_ms: when the worker reported its runs, on its own clock.
         """
         runs = [run for run in session.runs.values() if not run.stopping]
         stalled = [
@@ -91,31 +94,34 @@
             if is_stalled(stalled_s=run.stalled_s(clock_ms), expected_s=run.expected_s)
         ]
         if stalled:
-            self._set_slow_aside(session, "stalled")
+            self._quarantine_slow(session, "stalled")
             for run in stalled:
                 self._move(session, run, "stalled")
             return
-        ratios = [self._ratio_of(session, run) for run in runs]
+        ratios = [self._slowdown_of(session, run) for run in runs]
         known = [ratio for ratio in ratios if ratio is not None]
-        if is_slow_worker(known) and self._set_slow_aside(session, "slow"):
+        if is_slow_worker(known) and self._quarantine_slow(session, "slow"):
             self._move_slow(session, runs)
 
     def note_done(self, session: WorkerSession, ratio: float) -> None:
-        """Take note of how many times longer than expected a run took that ended well."""
+        """Record a successful run: a fast one ends probation, a slow one renews the quarantine.
+
+        :param ratio: its run time divided by the expected one.
+        """
         if not session.on_probation:
             return
-        if ratio < SLOW_WORKER:
+        if ratio < SLOW_WORKER_RATIO:
             session.on_probation = False
             log.info("worker_well worker=%s ratio=%.1f", session.info.id, ratio)
         else:
-            self._set_slow_aside(session, "slow")
+            self._quarantine_slow(session, "slow")
 
-    def _ratio_of(self, session: WorkerSession, run: Run) -> float | None:
+    def _slowdown_of(self, session: WorkerSession, run: Run) -> float | None:
         total_s = run.projected_total_s()
         if total_s is None or not run.expected_s:
             return None
         ratio = total_s / run.expected_s
-        # Most runs are as quick as expected; the others are compared to the rest of their job.
+        # Most runs are as fast as expected; only others are compared with the rest of their job.
         return total_s / self._expect_s(session, run) if is_slow_run(ratio) else ratio
 
     def _move_slow(self, session: WorkerSession, runs: list[Run]) -> None:
@@ -123,7 +129,7 @@
         for run in runs:
             expected_s = self._expect_s(session, run)
             left_s = run.left_s(now, expected_s=expected_s)
-            if pays_to_move(left_s=left_s, expected_s=expected_s, moves=self._moves_of(run)):
+            if is_move_worthwhile(left_s=left_s, expected_s=expected_s, moves=self._moves_of(run)):
                 self._move(session, run, "slow")
 
     def _move(self, session: WorkerSession, run: Run, reason: str) -> None:
@@ -138,15 +144,15 @@
         )
         session.stop(run)
 
-    def _set_slow_aside(self, session: WorkerSession, reason: str) -> bool:
+    def _quarantine_slow(self, session: WorkerSession, reason: str) -> bool:
         now = self._loop.time()
         if session.quarantined_until > now:
             return True
         slow = sum(1 for other in self._sessions_by_id.values() if other.on_probation)
-        if not session.on_probation and slow + 1 > MAX_SHARE_SLOW * len(self._sessions_by_id):
+        if not session.on_probation and slow + 1 > MAX_SLOW_SHARE * len(self._sessions_by_id):
             return False
         self._metrics.count("workers_set_aside", f'reason="{reason}"')
         log.warning("worker_set_aside worker=%s reason=%s", session.info.id, reason)
-        session.quarantine(until=now + SLOW_ASIDE_S)
-        self._loop.call_later(SLOW_ASIDE_S, self._on_room)
+        session.quarantine(until=now + SLOW_QUARANTINE_S)
+        self._loop.call_later(SLOW_QUARANTINE_S, self._on_capacity_available)
         return True
--- a/zincwell/dispatch/_run_times.py
+++ b/zincwell/dispatch/_run_times.py
@@ -1,45 +1,45 @@
-"""How long the tasks of jobs take, as far as their runs have shown."""
+"""Estimates of the run times of jobs and tasks, learned from their runs."""
 
 from __future__ import annotations
 
 from zincwell.dispatch._jobs import Job
 from zincwell.dispatch._runs import Run
-from zincwell.dispatch.decisions import RunTimes
+from zincwell.dispatch.decisions import RunTimeEstimator
 
 
 class JobRunTimeEstimator:
-    """Learns from runs, and tells what to expect of tasks and of runs."""
+    """Estimates run times from the runs of the same job, of its route and of its worker."""
 
     def __init__(self) -> None:
-        self._learned = RunTimes()
+        self._estimator = RunTimeEstimator()
 
-    def slowness(self, worker: str) -> float:
-        """Return how many times longer than usual tasks run on a worker."""
-        return self._learned.slowness(worker)
+    def slowdown(self, worker: str) -> float:
+        """Return how many times longer than on a typical worker tasks run on this one."""
+        return self._estimator.slowdown(worker)
 
     def expect_task_s(self, job: Job, step: int) -> float:
-        """Return how long a task of a step will run on a usual worker.
+        """Return how long a task of a step should run on a typical worker.
 
-        Another task of the step that is done tells it better than the caller's estimate.
+        A completed task of the same step predicts it better than the caller's estimate.
         """
         known_s = job.min_run_s_by_step.get(step)
         if known_s is not None:
             return known_s
         estimate_s = job.request.steps[step].estimate_ms / 1000
-        return self._learned.expect_s(route=job.request.route, estimate_s=estimate_s)
+        return self._estimator.expect_s(route=job.request.route, estimate_s=estimate_s)
 
     def expect_job_s(self, job: Job) -> float:
-        """Return how long the longest chain of a job's steps will run."""
-        return self._learned.expect_s(route=job.request.route, estimate_s=job.estimate_s)
+        """Return how long the longest chain of a job's steps should run."""
+        return self._estimator.expect_s(route=job.request.route, estimate_s=job.estimate_s)
 
     def note_done(self, job: Job, run: Run, *, worker: str, now: float) -> float:
-        """Learn from a run that ended well; return how many times longer than expected it took."""
+        """Learn from a run that succeeded; return its run time divided by the expected one."""
         if run.adopted:
             return 1.0
         step = run.task.step
         run_s = now - run.ordered_at
         expected_s = self.expect_task_s(job, step)
-        self._learned.note_done(
+        self._estimator.note_done(
             route=job.request.route,
             worker=worker,
             estimate_s=job.request.steps[step].estimate_ms / 1000,
--- a/zincwell/dispatch/decisions/__init__.py
+++ b/zincwell/dispatch/decisions/__init__.py
@@ -1,13 +1,13 @@
-"""What the owner of the pool decides, apart from clocks, connections and the event loop.
+"""Decision functions of the owner, free of clocks, connections and the event loop.
 
-Each module takes what is known as plain values and returns a decision. Its doc comment names the
-load that it answers and why its limits stand where they do.
+Each module takes plain values and returns a decision. Its docstring names the load condition that
+it handles and the reasons for its limits.
 """
 
 from zincwell.dispatch.decisions._admission import (
     ANSWER_EXPIRY_OBJECTIVES,
-    Prospect,
-    choose_retry_s,
+    LateJobDecision,
+    choose_retry_after_s,
     count_waves,
     judge_late_job,
     meets_objective,
@@ -29,7 +29,7 @@
     DomainSize,
     plan_cells,
 )
-from zincwell.dispatch.decisions._forecast import Demand, FreeCores, Projection, Replay
+from zincwell.dispatch.decisions._forecast import Demand, FreeCores, QueueSimulation, StartForecast
 from zincwell.dispatch.decisions._offered_load import OfferedLoad
 from zincwell.dispatch.decisions._polling import (
     MAX_LOOP_LAG_S,
@@ -37,13 +37,13 @@
     choose_long_poll_wait_s,
     min_poll_interval_s,
 )
-from zincwell.dispatch.decisions._run_time_estimates import SLOW_WORKER, RunTimes
+from zincwell.dispatch.decisions._run_time_estimates import SLOW_WORKER_RATIO, RunTimeEstimator
 from zincwell.dispatch.decisions._stragglers import (
     MIN_PROGRESS_PERCENT,
+    is_move_worthwhile,
     is_slow_run,
     is_slow_worker,
     is_stalled,
-    pays_to_move,
 )
 
 __all__ = [
@@ -52,7 +52,7 @@
     "MAX_LOOP_LAG_S",
     "MIN_PROGRESS_PERCENT",
     "NO_WORKERS_BACKLOG_S",
-    "SLOW_WORKER",
+    "SLOW_WORKER_RATIO",
     "SUSPECT_AFTER_S",
     "WORKERS_PER_CORE",
     "AnswerLossDetector",
@@ -62,22 +62,22 @@
     "Demand",
     "DomainSize",
     "FreeCores",
+    "LateJobDecision",
     "OfferedLoad",
-    "Projection",
-    "Prospect",
-    "Replay",
-    "RunTimes",
+    "QueueSimulation",
+    "RunTimeEstimator",
+    "StartForecast",
     "choose_long_poll_wait_s",
     "choose_other_cell",
-    "choose_retry_s",
+    "choose_retry_after_s",
     "count_waves",
+    "is_move_worthwhile",
     "is_slow_run",
     "is_slow_worker",
     "is_stalled",
     "judge_late_job",
     "meets_objective",
     "min_poll_interval_s",
-    "pays_to_move",
     "plan_cells",
     "should_use_home_cell",
 ]
--- a/zincwell/dispatch/decisions/_cell_selection.py
+++ b/zincwell/dispatch/decisions/_cell_selection.py
@@ -1,13 +1,14 @@
-"""To which cell a job goes.
+"""Which cell a job is sent to.
 
-Load that it answers: callers who move from one failure domain to another, bursts in one of them,
-and the half second in which a cell has no owner. The own cell's workers are near, and a resend of
-a job finds it there; so a job goes elsewhere only if it would have to wait at home, or was refused.
-Where no cell begins it at once, it goes to one where it waits much less. A cell whose workers are
-evacuated has none, so the jobs of its callers all go elsewhere.
+Load condition: callers move from one failure domain to another, one domain gets a burst, or a cell
+has no owner for half a second. The workers of the home cell are near, and a resent job is found
+there; so a job goes elsewhere only if it would have to wait at home, or was refused there. If no
+cell can start it at once, it goes to one where it waits much less. A cell whose workers are
+evacuated has none, so all jobs of its callers go elsewhere.
 
-Reports are a few tenths of a second old, and many entries read the same: each picks among all
-cells with room, by chance in proportion to it, so that they don't all fill the same one.
+Reports are a few tenths of a second old, and many entries read the same ones. Each entry picks at
+random among all cells with free capacity, in proportion to it, so that they don't all fill the
+same cell.
 """
 
 from __future__ import annotations
@@ -17,20 +18,22 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-# A queue at home that its workers would need less than this many seconds for is no reason to go
-# elsewhere: a job or two wait for the next end of a short task.
-BEARABLE_BACKLOG_S = 0.01
+# A backlog that the workers clear in fewer seconds does not count: one or two jobs wait for the
+# next end of a short task.
+MAX_IDLE_BACKLOG_S = 0.01
 # A job that could wait at home goes to another cell only if that has room for this many of its
-# size, since others see the room, too. One that can't be served at home needs room just for itself.
-ROOM_FACTOR = 2
-# A job leaves a queue for a shorter one if that saves at least this many seconds. Queues change by
-# as much between two reports, and the objective of the shortest jobs is twice as long.
-WORTH_MOVING_S = 0.05
-# The backlog of a cell without workers, in seconds.
+# size, because other entries see the same free capacity. A job that can't be served at home needs
+# room only for itself.
+FREE_CAPACITY_FACTOR = 2
+# A job leaves a queue for a shorter one only if that saves at least this many seconds. Queues
+# change by as much between two reports, and the objective of the shortest jobs is twice as long.
+MIN_WAIT_SAVING_S = 0.05
+# Backlog reported by a cell without workers, in seconds.
 NO_WORKERS_BACKLOG_S = 3600.0
-# What a cell said of itself longer ago says nothing about now, in seconds.
-FRESH_S = 1.0
-# An owner that was not heard for this many seconds may be gone: its heartbeats come each 0.1 s.
+# Age in seconds from which a report, or an owner's last sign of life, says nothing about the
+# present.
+STALE_AFTER_S = 1.0
+# An owner that was silent for this many seconds may be gone; its heartbeats come every 0.1 s.
 SUSPECT_AFTER_S = 0.25
 
 
@@ -38,10 +41,10 @@
 class CellState:
     """What an entry knows of a cell.
 
-    :param free_cpu: thousandths of a core that its workers have free.
-    :param backlog_s: how long its workers would need for what waits.
-    :param age_s: how old that is.
-    :param silence_s: for how long its owner was not heard.
+    :param free_cpu: thousandths of a core that are free on its workers.
+    :param backlog_s: time that its workers need for the waiting tasks.
+    :param age_s: age of these two values.
+    :param silence_s: time since the last sign of life of its owner.
     """
 
     free_cpu: int = 0
@@ -49,37 +52,40 @@
     age_s: float = 0.0
     silence_s: float = 0.0
 
-    def takes(self, cpu: int) -> bool:
-        """Return whether tasks of a size would begin there at once, as far as anybody knows."""
-        idle = self.backlog_s < BEARABLE_BACKLOG_S
-        return self.is_heard() and idle and self.free_cpu >= cpu
+    def can_start_now(self, cpu: int) -> bool:
+        """Return whether, by the last report, tasks would start there at once.
 
-    def is_heard(self) -> bool:
-        """Return whether the cell has an owner, and what is known of it is young enough."""
-        return self.age_s < FRESH_S and self.silence_s < FRESH_S
+        :param cpu: thousandths of a core that they need together.
+        """
+        idle = self.backlog_s < MAX_IDLE_BACKLOG_S
+        return self.is_current() and idle and self.free_cpu >= cpu
+
+    def is_current(self) -> bool:
+        """Return whether the cell has an owner and its report is not stale."""
+        return self.age_s < STALE_AFTER_S and self.silence_s < STALE_AFTER_S
 
     def has_workers(self) -> bool:
-        """Return whether there is anything to wait for."""
+        """Return whether the cell has workers that a queued job can wait for."""
         return self.backlog_s < NO_WORKERS_BACKLOG_S
 
 
 def should_use_home_cell(home: CellState) -> bool:
-    """Return whether a new job should stay in the own cell."""
-    return home.silence_s < SUSPECT_AFTER_S and home.backlog_s < BEARABLE_BACKLOG_S
+    """Return whether a new job should stay in the home cell."""
+    return home.silence_s < SUSPECT_AFTER_S and home.backlog_s < MAX_IDLE_BACKLOG_S
 
 
 def choose_other_cell(
     job_id: str, cpu: int, others: Mapping[str, CellState], *, home_wait_s: float = math.inf
 ) -> str | None:
-    """Return the name of a cell that would begin a job soonest, None if that is the own one.
+    """Return the name of another cell that would start a job sooner, or None to stay at home.
 
-    :param cpu: thousandths of a core that all tasks of the job take together.
-    :param home_wait_s: backlog of the own cell; infinite if it has refused the job or can't run it.
+    :param cpu: thousandths of a core that all tasks of the job need together.
+    :param home_wait_s: backlog of the home cell; infinite if it refused the job or can't run it.
     """
-    needed = cpu if math.isinf(home_wait_s) else cpu * ROOM_FACTOR
-    names = sorted(name for name, state in others.items() if state.takes(needed))
+    needed_cpu = cpu if math.isinf(home_wait_s) else cpu * FREE_CAPACITY_FACTOR
+    names = sorted(name for name, state in others.items() if state.can_start_now(needed_cpu))
     if not names:
-        return _choose_queue(job_id, others, home_wait_s)
+        return _choose_shorter_queue(job_id, others, home_wait_s)
     total = sum(others[name].free_cpu for name in names)
     point = zlib.crc32(job_id.encode()) / 2**32 * total
     for name in names:
@@ -89,19 +95,21 @@
     return names[-1]
 
 
-def _choose_queue(job_id: str, others: Mapping[str, CellState], home_wait_s: float) -> str | None:
-    """Return the cell where a job waits much less than at home, None if there is none.
+def _choose_shorter_queue(
+    job_id: str, others: Mapping[str, CellState], home_wait_s: float
+) -> str | None:
+    """Return a cell where a job waits much less than at home, or None if there is none.
 
-    Of two that chance picks it is the one with the shorter queue: if all entries sent their jobs
-    to the shortest of all, that one would be the longest at the next report.
+    The job goes to the shorter queue of two cells picked by a hash of its id. If all entries chose
+    the shortest queue of all, it would be the longest by the next report.
     """
-    limit_s = min(home_wait_s, NO_WORKERS_BACKLOG_S) - WORTH_MOVING_S
+    limit_s = min(home_wait_s, NO_WORKERS_BACKLOG_S) - MIN_WAIT_SAVING_S
     names = sorted(
-        name for name, state in others.items() if state.is_heard() and state.backlog_s < limit_s
+        name for name, state in others.items() if state.is_current() and state.backlog_s < limit_s
     )
     if not names:
         return None
-    chance = zlib.crc32(job_id.encode())
-    first = names[chance % len(names)]
-    second = names[chance // len(names) % len(names)]
+    job_hash = zlib.crc32(job_id.encode())
+    first = names[job_hash % len(names)]
+    second = names[job_hash // len(names) % len(names)]
     return min(first, second, key=lambda name: others[name].backlog_s)
--- a/zincwell/dispatch/decisions/_cells.py
+++ b/zincwell/dispatch/decisions/_cells.py
@@ -1,10 +1,11 @@
-"""How many owners a pool needs, and which workers each of them has.
-
-Load that it answers: hundreds of workers. One queue over all of them places jobs best, and with 24
-workers one owner serves 0.95 where one for each of four failure domains serves 0.87. But a start
-costs an owner 0.6 to 0.8 ms of processor, so an owner of 270 workers that start 2,200 tasks a
-second is late with all of them. So there are as few cells as the owners can carry: all domains in
-one, else a few domains in each, else a domain in parts.
+"""How many cells a pool needs, and which failure domains belong to each.
+
+Load condition: hundreds of workers. A single queue over all of them places jobs best: with 24
+workers, one owner serves 0.95 of the jobs where one owner for each of four failure domains serves
+0.87. But each start costs an owner 0.6 to 0.8 ms of processor time, so an owner of 270 workers that
+start 2,200 tasks a second is late with all of them. The plan therefore has as few cells as the
+owners can carry: all domains in one cell, else a few domains in each, else a domain split into
+parts.
 """
 
 from __future__ import annotations
@@ -13,25 +14,27 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-# Workers that an owner with one whole core carries. A worker begins up to 8 tasks a second, at
-# 0.8 ms of processor each; an owner that is busy for more than 0.4 of its time makes short tasks
-# wait for their starts.
+# Workers that an owner with one whole core can serve. A worker starts up to 8 tasks a second, at
+# 0.8 ms of processor time each; an owner that is busy for more than 0.4 of its time delays the
+# starts of short tasks.
 WORKERS_PER_CORE = 64
-# A part of a domain needs an owner and two that can take over from it.
-ENTRIES_PER_PART = 3
-# The layout stays while its cells are at most this many times too large, and as long as not even
-# owners of this share of their strength would do with fewer cells: a change moves all runs.
-TOO_LARGE = 1.25
-TOO_SMALL = 0.6
-# Strengths of owners, as parts of the whole, that are tried for the most equal cells.
-EVEN_STEPS = 20
+# A part of a domain needs an owner and two successors that can take over from it.
+MIN_ENTRIES_PER_PART = 3
+# Hysteresis in the number of cells, because a change of the layout moves all runs: the current
+# layout stays if it has at least the cells needed with owners of MAX_CAPACITY_SHARE times their
+# capacity, and at most those needed with owners of MIN_CAPACITY_SHARE times their capacity.
+MAX_CAPACITY_SHARE = 1.25
+MIN_CAPACITY_SHARE = 0.6
+# Number of shares of the owners' capacity that are tried to make the cells equally large.
+CAPACITY_STEPS = 20
 
 
 @dataclass(frozen=True, kw_only=True)
 class DomainSize:
-    """What a failure domain has.
+    """The workers and entries of a failure domain.
 
-    :param cores: processor of each of its entries.
+    :param workers: number of its workers.
+    :param cores: cores of each of its entries.
     """
 
     workers: int = 0
@@ -40,27 +43,30 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CellShape:
-    """Failure domains that share a queue; one domain may be split into parts of equal size."""
+    """Failure domains that share a queue; a single domain may be split into equal parts."""
 
     domains: tuple[str, ...]
     parts: int = 1
 
 
 @dataclass(kw_only=True)
-class _Group:
+class _DomainGroup:
     domains: list[str] = field(default_factory=list)
     workers: int = 0
     cores: list[float] = field(default_factory=list)
 
-    def joined(self, name: str, size: DomainSize) -> _Group:
-        return _Group(
+    def with_domain(self, name: str, size: DomainSize) -> _DomainGroup:
+        return _DomainGroup(
             domains=[*self.domains, name],
             workers=self.workers + size.workers,
             cores=sorted([*self.cores, *size.cores], reverse=True),
         )
 
-    def capacity(self) -> float:
-        """Return how many workers the second strongest entry carries, as the first may be lost."""
+    def worker_capacity(self) -> float:
+        """Return how many workers the second strongest entry can serve.
+
+        The strongest one may fail, and its successor has to serve the cell as well.
+        """
         if not self.cores:
             return math.inf
         return WORKERS_PER_CORE * self.cores[min(1, len(self.cores) - 1)]
@@ -69,52 +75,53 @@
 def plan_cells(
     domains: Mapping[str, DomainSize], current: Sequence[CellShape]
 ) -> Sequence[CellShape]:
-    """Return the cells that the pool should have; ``current`` if these will do."""
+    """Return the cells that the pool should have; ``current`` if these are good enough."""
     covered = {domain for shape in current for domain in shape.domains}
     if covered == set(domains):
-        fewest = _count(_divide(domains, strength=TOO_LARGE))
-        most = _count(_divide(domains, strength=TOO_SMALL))
-        if fewest <= _count(current) <= most:
+        fewest = _count_cells(_pack_domains(domains, capacity_share=MAX_CAPACITY_SHARE))
+        most = _count_cells(_pack_domains(domains, capacity_share=MIN_CAPACITY_SHARE))
+        if fewest <= _count_cells(current) <= most:
             return current
-    return _divide_evenly(domains)
+    return _pack_evenly(domains)
 
 
-def _count(shapes: Sequence[CellShape]) -> int:
+def _count_cells(shapes: Sequence[CellShape]) -> int:
     return sum(shape.parts for shape in shapes)
 
 
-def _divide_evenly(domains: Mapping[str, DomainSize]) -> list[CellShape]:
-    """Return the fewest cells, as equal as they can be.
+def _pack_evenly(domains: Mapping[str, DomainSize]) -> list[CellShape]:
+    """Return the fewest cells, as equal in size as possible.
 
-    Filled one after the other, three domains would share an owner near its limit and the fourth
-    would have one for itself: bursts wait in the one while the other's workers stand empty.
+    Filling cells one after the other could give three domains an owner near its limit and the
+    fourth domain an owner of its own: bursts would wait in one cell while the workers of the other
+    are idle.
     """
-    fewest = _divide(domains, strength=1.0)
-    for step in range(1, EVEN_STEPS):
-        shapes = _divide(domains, strength=step / EVEN_STEPS)
-        if _count(shapes) == _count(fewest):
+    fewest = _pack_domains(domains, capacity_share=1.0)
+    for step in range(1, CAPACITY_STEPS):
+        shapes = _pack_domains(domains, capacity_share=step / CAPACITY_STEPS)
+        if _count_cells(shapes) == _count_cells(fewest):
             return shapes
     return fewest
 
 
-def _divide(domains: Mapping[str, DomainSize], *, strength: float) -> list[CellShape]:
-    """Return the fewest cells for owners of a strength, in the order of the domains' names."""
+def _pack_domains(domains: Mapping[str, DomainSize], *, capacity_share: float) -> list[CellShape]:
+    """Return the fewest cells if owners use a share of their capacity, in order of domain names."""
     shapes: list[CellShape] = []
-    group = _Group()
+    group = _DomainGroup()
     for name in sorted(domains):
-        joined = group.joined(name, domains[name])
-        if group.domains and joined.workers > joined.capacity() * strength:
-            shapes.append(_shape_of(group, strength))
-            joined = _Group().joined(name, domains[name])
+        joined = group.with_domain(name, domains[name])
+        if group.domains and joined.workers > joined.worker_capacity() * capacity_share:
+            shapes.append(_make_shape(group, capacity_share))
+            joined = _DomainGroup().with_domain(name, domains[name])
         group = joined
     if group.domains:
-        shapes.append(_shape_of(group, strength))
+        shapes.append(_make_shape(group, capacity_share))
     return shapes
 
 
-def _shape_of(group: _Group, strength: float) -> CellShape:
+def _make_shape(group: _DomainGroup, capacity_share: float) -> CellShape:
     parts = 1
     if len(group.domains) == 1:
-        wanted = math.ceil(group.workers / (group.capacity() * strength))
-        parts = max(1, min(wanted, len(group.cores) // ENTRIES_PER_PART))
+        wanted = math.ceil(group.workers / (group.worker_capacity() * capacity_share))
+        parts = max(1, min(wanted, len(group.cores) // MIN_ENTRIES_PER_PART))
     return CellShape(domains=tuple(group.domains), parts=parts)
--- a/zincwell/dispatch/decisions/_forecast.py
+++ b/zincwell/dispatch/decisions/_forecast.py
@@ -1,15 +1,15 @@
-"""When a waiting job would start and end, by replaying the queue.
-
-Load that it answers: for some seconds more work arrives than the workers have room for. A caller
-can be told at once that its job has no chance only if somebody knows so at once. How long the
-queue is does not tell: what matters is when the runs ahead end, how wide the jobs ahead are, and
-what is still to come before them.
-
-The workers' cores are taken as pieces that become free one after the other, and each waiting task
-takes the pieces that are free first. How tasks of unequal size fit into one worker is left out.
-That makes the forecast a little early, so a job that is refused by it would have come too late.
-The cost is linear in the waiting tasks: 4.5 microseconds each with 56 pieces and 6.4 with 410 (best
-of seven, 1,000 waiting tasks).
+"""Forecast of when waiting jobs start and end, by simulating the queue.
+
+Load condition: for some seconds more work arrives than the workers have capacity for. A caller
+can be told at once that its job has no chance only if the owner can tell so at once. The queue
+length alone does not show it: what matters is when the runs ahead end, how wide the jobs ahead
+are, and which of their tasks are still to start.
+
+The workers' cores are modelled as slices that become free one after the other, and each waiting
+task takes the slices that are free first. The simulation ignores how tasks of unequal size fit
+into one worker. That makes the forecast slightly early, so a job refused by it would have been
+late. The cost is linear in the number of waiting tasks: 4.5 microseconds each with 56 slices and
+6.4 with 410, with 1,000 waiting tasks.
 """
 
 from __future__ import annotations
@@ -20,19 +20,22 @@
 
 
 class FreeCores(NamedTuple):
-    """Some cores of one worker, in thousandths, that are free from a moment on."""
+    """Cores of one worker, in thousandths, that are free from a moment on.
+
+    :param at_s: seconds from now.
+    """
 
     at_s: float
     cpu: int
 
 
 class Demand(NamedTuple):
-    """What a waiting job asks for.
+    """Resource demand of a waiting job.
 
-    :param tasks: how many of its tasks wait.
+    :param tasks: number of its tasks that wait.
     :param cpu: thousandths of a core that each needs.
-    :param run_s: time that one of them runs.
-    :param not_before_s: earliest start of the job.
+    :param run_s: run time of each.
+    :param not_before_s: earliest start of the job, in seconds from now.
     """
 
     tasks: int
@@ -41,47 +44,52 @@
     not_before_s: float = 0.0
 
 
-class Projection(NamedTuple):
+class StartForecast(NamedTuple):
     """When the tasks of a job would start, in seconds from now, if nothing more arrived."""
 
     first_start_s: float
     last_start_s: float
 
 
-class Replay:
-    """Gives room to waiting jobs one after the other, as the owner will."""
+class QueueSimulation:
+    """Assigns cores to waiting jobs one after the other, as the scheduler will.
+
+    :param free: all cores of the workers, with the time from which they are free.
+    """
 
     def __init__(self, free: Iterable[FreeCores]) -> None:
-        self._pieces = list(free)
-        heapq.heapify(self._pieces)
-        self._before = self._pieces
-        self._largest = sum(piece.cpu for piece in self._pieces)
-
-    def place(self, demand: Demand) -> Projection | None:
-        """Give a job room and return when; None if no worker is known that it fits."""
-        self._before = self._pieces[:]
-        if demand.cpu > self._largest:
+        self._slices = list(free)
+        heapq.heapify(self._slices)
+        self._slices_before = self._slices
+        self._total_cpu = sum(core_slice.cpu for core_slice in self._slices)
+
+    def place(self, demand: Demand) -> StartForecast | None:
+        """Assign cores to a job; return its start times, or None if it exceeds all cores."""
+        self._slices_before = self._slices[:]
+        if demand.cpu > self._total_cpu:
             return None
-        starts = [self._take(demand) for _ in range(demand.tasks)]
-        return Projection(starts[0], starts[-1]) if starts else Projection(0.0, 0.0)
+        starts = [self._place_task(demand) for _ in range(demand.tasks)]
+        return StartForecast(starts[0], starts[-1]) if starts else StartForecast(0.0, 0.0)
 
     def undo(self) -> None:
-        """Take back the room of the job that got it last.
+        """Release the cores of the job that was placed last.
 
-        A job that is refused must not make those behind it look late: with one wide job in the
-        way all would be refused together.
+        A refused job must not make the jobs behind it look late: one wide job at the front would
+        get all of them refused.
         """
-        self._pieces = self._before
+        self._slices = self._slices_before
 
-    def _take(self, demand: Demand) -> float:
-        """Let one task run on the cores that are free first; return when it starts."""
-        missing = demand.cpu
+    def _place_task(self, demand: Demand) -> float:
+        """Assign the cores that are free first to one task; return when it starts."""
+        missing_cpu = demand.cpu
         start_s = demand.not_before_s
-        while missing > 0:
-            piece = heapq.heappop(self._pieces)
-            start_s = max(start_s, piece.at_s)
-            if piece.cpu > missing:
-                heapq.heappush(self._pieces, FreeCores(piece.at_s, piece.cpu - missing))
-            missing -= piece.cpu
-        heapq.heappush(self._pieces, FreeCores(start_s + demand.run_s, demand.cpu))
+        while missing_cpu > 0:
+            core_slice = heapq.heappop(self._slices)
+            start_s = max(start_s, core_slice.at_s)
+            if core_slice.cpu > missing_cpu:
+                heapq.heappush(
+                    self._slices, FreeCores(core_slice.at_s, core_slice.cpu - missing_cpu)
+                )
+            missing_cpu -= core_slice.cpu
+        heapq.heappush(self._slices, FreeCores(start_s + demand.run_s, demand.cpu))
         return start_s
