--- a/zincwell/dispatch/_clocks.py
+++ b/zincwell/dispatch/_clocks.py
@@ -1,40 +1,40 @@
-"""What an entry knows of a worker's clock."""
+"""An entry's estimate of a worker's clock."""
 
 from __future__ import annotations
 
 import asyncio
 
-# Worker clocks may run slow by this share, so a lease may last longer by it.
+# Worker clocks may run slow by up to this share, so a lease may last longer by the same share.
 MAX_CLOCK_DRIFT_RATE = 0.02
 
 
 class WorkerClock:
-    """A worker's clock, by the times that its answers tell.
+    """Lower bound of a worker's clock, from the times in its answers.
 
-    Leases and deadlines are times on the worker's clock, so an entry has to know one that the
-    worker has surely reached.
+    Leases and deadlines are times on the worker's clock, so an entry needs a time that this clock
+    has certainly reached.
     """
 
     def __init__(self) -> None:
-        self._read_ms: float | None = None
-        self._read_at = 0.0
+        self._bound_ms: float | None = None
+        self._bound_at = 0.0
         self._newest_ms = 0
         self._loop = asyncio.get_running_loop()
 
     def is_known(self) -> bool:
-        """Return whether the worker has told its time."""
-        return self._read_ms is not None
+        """Return whether an answer has contained the worker's time."""
+        return self._bound_ms is not None
 
     def update(self, clock_ms: int) -> bool:
-        """Take note of the time in an answer; return whether no later answer was seen before."""
-        if self._read_ms is None or clock_ms >= self.lower_bound_ms():
-            self._read_ms = clock_ms
-            self._read_at = self._loop.time()
+        """Apply the time in an answer; return whether no later answer was seen before."""
+        if self._bound_ms is None or clock_ms >= self.lower_bound_ms():
+            self._bound_ms = clock_ms
+            self._bound_at = self._loop.time()
         is_newest = clock_ms >= self._newest_ms
         self._newest_ms = max(self._newest_ms, clock_ms)
         return is_newest
 
     def lower_bound_ms(self) -> float:
-        """Return a time in milliseconds that the worker's clock has surely reached."""
-        passed_ms = (self._loop.time() - self._read_at) * 1000
-        return (self._read_ms or 0) + passed_ms * (1 - MAX_CLOCK_DRIFT_RATE)
+        """Return a time in milliseconds that the worker's clock has certainly reached."""
+        passed_ms = (self._loop.time() - self._bound_at) * 1000
+        return (self._bound_ms or 0) + passed_ms * (1 - MAX_CLOCK_DRIFT_RATE)
--- a/zincwell/dispatch/_placement.py
+++ b/zincwell/dispatch/_placement.py
@@ -1,4 +1,4 @@
-"""Which worker takes a task."""
+"""Choice of the worker for a task."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 
 class AvailableWorkers:
-    """The workers of one service that may start tasks, by how much processor they have free."""
+    """The workers of one service that may start tasks, sorted by free processor capacity."""
 
     def __init__(self, sessions: Iterable[WorkerSession]) -> None:
         self._sessions = sorted(sessions, key=_free_cpu)
 
     def most_free_cpu(self) -> int:
-        """Return the processor that is free on the emptiest worker, in thousandths of a core."""
+        """Return the largest free capacity of any worker, in thousandths of a core."""
         return self._sessions[-1].free_cpu
 
     def find(self, *, step: Step, task: Task) -> WorkerSession | None:
-        """Return the worker that a task fits best, or None if it fits nowhere now.
+        """Return the best fit for a task, or None if no worker has room for it now.
 
-        The one that keeps the least room wins, so that large tasks find room on others. A worker
-        on which the task has failed comes last, one near the task's data first.
+        Best fit is the worker with the least free processor capacity, so that large tasks still
+        find room on others. Workers near the task's data are preferred; workers that the task
+        should avoid, such as one on which it has failed, come last.
         """
         best: WorkerSession | None = None
         best_rank = (True, True)
@@ -43,13 +44,13 @@
         return best
 
     def note_start(self, session: WorkerSession) -> None:
-        """Take note that a worker has less room than before."""
+        """Restore the order after a task was started on a worker."""
         self._sessions.remove(session)
         bisect.insort(self._sessions, session, key=_free_cpu)
 
 
 def fits_now(session: WorkerSession, *, step: Step, task: Task) -> bool:
-    """Return whether a worker has room for a task and may run it."""
+    """Return whether a worker may run a task and has room for it now."""
     if step.cpu > session.free_cpu or step.memory_mb > session.free_memory:
         return False
     if step.gpu > session.free_gpu:
--- a/zincwell/dispatch/_scheduler.py
+++ b/zincwell/dispatch/_scheduler.py
@@ -1,4 +1,4 @@
-"""Places the tasks of waiting jobs on workers with room."""
+"""Placement of waiting tasks on workers with free capacity."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class Scheduler:
-    """Starts tasks in the order of the queue, wherever there is room.
+    """Starts tasks in queue order on workers with free capacity.
 
-    :param sessions_by_id: the owner's workers.
-    :param may_start_tasks: returns whether anything may be started yet.
-    :param may_have_orphaned_runs: returns whether tasks of a job may run where the owner can't see
-        them, so that it must not start yet.
+    :param sessions_by_id: sessions with the owner's workers.
+    :param may_start_tasks: returns whether the owner may start any task yet.
+    :param may_have_orphaned_runs: returns whether a job may have runs that the owner does not
+        see, so that none of its tasks may start yet.
     :param next_run_number: returns the number of the next run of a task.
-    :param run_times: how long tasks take.
-    :param worker_list_age_s: returns how old the list of workers is that starts rely on, in
+    :param run_times: estimates of run times.
+    :param worker_list_age_s: returns the age of the list of workers that placement uses, in
         seconds.
     """
 
@@ -44,7 +44,7 @@
     ) -> None:
         self.queue = JobQueue()
         self.suspended = False
-        # Whether nothing was placed the last time since nothing may be started yet.
+        # Whether the last attempt placed nothing because no task may start yet.
         self.starts_blocked = False
         self._sessions_by_id = sessions_by_id
         self._may_start_tasks = may_start_tasks
@@ -53,56 +53,56 @@
         self._run_times = run_times
         self._worker_list_age_s = worker_list_age_s
         self._metrics = metrics
-        self._planned = False
+        self._placement_requested = False
         self._loop = asyncio.get_running_loop()
 
     def request_placement(self) -> None:
-        """Place waiting tasks soon, once for all events of this turn of the loop."""
-        if not self._planned:
-            self._planned = True
+        """Schedule a placement, once for all events of this event loop iteration."""
+        if not self._placement_requested:
+            self._placement_requested = True
             self._loop.call_soon(self.place)
 
     def place(self) -> None:
-        """Start what can start now."""
-        self._planned = self.starts_blocked = False
+        """Start all waiting tasks that can start now."""
+        self._placement_requested = self.starts_blocked = False
         if self.suspended or not len(self.queue):
             return
         now = self._loop.time()
         self.starts_blocked = not self._may_start_tasks(now)
         if self.starts_blocked:
             return
-        room_by_service = self._find_room(self.queue.smallest_cpu(), now)
-        if not room_by_service:
+        workers_by_service = self._find_available_workers(self.queue.smallest_cpu(), now)
+        if not workers_by_service:
             return
         for job in self.queue:
-            room = room_by_service.get(job.request.service)
-            if room is None or job.smallest_cpu > room.most_free_cpu():
+            workers = workers_by_service.get(job.request.service)
+            if workers is None or job.smallest_cpu > workers.most_free_cpu():
                 continue
             if self._may_have_orphaned_runs(job, now):
                 continue
-            self._place_job(job, room, now)
+            self._place_job(job, workers, now)
             if not job.waiting:
                 self.queue.discard(job)
             elif job.started:
                 self.queue.add(job, now=now)
 
-    def _find_room(self, least_cpu: int, now: float) -> dict[str, AvailableWorkers]:
+    def _find_available_workers(self, least_cpu: int, now: float) -> dict[str, AvailableWorkers]:
         sessions_by_service: dict[str, list[WorkerSession]] = {}
         for session in self._sessions_by_id.values():
             if session.free_cpu >= least_cpu and session.can_start(now):
                 sessions_by_service.setdefault(session.info.service, []).append(session)
         return {name: AvailableWorkers(sessions) for name, sessions in sessions_by_service.items()}
 
-    def _place_job(self, job: Job, room: AvailableWorkers, now: float) -> None:
+    def _place_job(self, job: Job, workers: AvailableWorkers, now: float) -> None:
         for number, step in job.ready_steps():
             for task in job.tasks[number]:
                 if task.state is not TaskState.WAITING:
                     continue
-                session = room.find(step=step, task=task)
+                session = workers.find(step=step, task=task)
                 if session is None:
                     break
                 self._start(job, step, task, session, now)
-                room.note_start(session)
+                workers.note_start(session)
 
     def _start(self, job: Job, step: Step, task: Task, session: WorkerSession, now: float) -> None:
         run = Run(
