--- a/proofs/mutations.py
+++ b/proofs/mutations.py
@@ -169,8 +169,8 @@
     _worker(
         "no-hold-no-ejection",
         "core/_dispatch.py",
-        "            worker.hold_slot(left_s - self._clock.monotonic())\n"
-        "            if pool.judge(worker):\n",
+        "            worker.hold_slot(remaining_s - self._clock.monotonic())\n"
+        "            if pool.eject_if_outlier(worker):\n",
         "            if False:\n",
         "test_worker_that_fails_everything_does_not_swallow_the_queue",
     ),
@@ -287,7 +287,7 @@
     _mutation(
         "owner-digest-uncompared",
         "core/_jobs.py",
-        "    return xxhash.xxh3_64_intdigest(msgspec.json.encode(asked))\n",
+        "    return xxhash.xxh3_64_intdigest(msgspec.json.encode(content))\n",
         "    return 1\n",
         "tests/test_ownership.py::test_key_reused_for_other_work_is_refused",
     ),
@@ -377,8 +377,8 @@
         edits=(
             _edit(
                 "core/_dispatch.py",
-                "            worker.hold_slot(left_s - self._clock.monotonic())\n"
-                "            if pool.judge(worker):\n",
+                "            worker.hold_slot(remaining_s - self._clock.monotonic())\n"
+                "            if pool.eject_if_outlier(worker):\n",
                 "            if False:\n",
             ),
             _edit(
--- a/tests/test_decisions_admission.py
+++ b/tests/test_decisions_admission.py
@@ -1,4 +1,4 @@
-"""What is taken in, what the rest is told, and quotas, by a manual clock."""
+"""Admission control, retry delays of refusals, and quotas, with a manual clock."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from tests.ownership_model import ManualClock
 from tests.test_decisions_queue import RUN_S, make_job
 from zincwell.core._admission import (
-    LONGEST_RETRY_MS,
+    MAX_RETRY_AFTER_MS,
     Admission,
     Refusal,
-    Turns,
+    RetrySchedule,
 )
 from zincwell.core._health import (
     Health,
@@ -36,8 +36,8 @@
 MEMORY_MB = 1_000
 
 
-class Desk:
-    """An admission with the real pool and queue, over workers that only have a size."""
+class AdmissionFixture:
+    """An admission with a real pool and queue, and workers that have only slots and memory."""
 
     def __init__(self, *, workers: int = 1, pool: dict | None = None, **document) -> None:
         self.clock = ManualClock()
@@ -111,135 +111,136 @@
     return MatchesStructure.byEquality(reason=reason)
 
 
-# -- what can never run ----------------------------------------------------------------
+# -- refusals without a retry ----------------------------------------------------------
 
 
 def test_task_larger_than_any_worker_is_refused_for_good():
-    """Symptom: a caller sends a task again for ever that no worker can hold.
+    """A caller must not be told to retry a task that fits no worker.
 
-    Sequence: a task declares more memory than the largest worker has. Cause: it's told when
-    to come back, although that never helps.
+    A task declares more memory than the largest worker has. With a retry delay in the refusal,
+    the caller would retry it for ever.
     """
-    refusal = Desk().check(Desk().job(memory_mb=MEMORY_MB + 1))
+    refusal = AdmissionFixture().check(AdmissionFixture().job(memory_mb=MEMORY_MB + 1))
 
     assert_that(refusal, refused("fits_no_worker"))
     assert_that(refusal.retry_after_ms, Is(None))
 
 
 def test_job_larger_than_its_quota_is_refused_for_good():
-    desk = Desk(tenants={"school": {"max_queued": 5}})
+    fixture = AdmissionFixture(tenants={"school": {"max_queued": 5}})
 
-    refusal = desk.check(desk.job(tasks=6))
+    refusal = fixture.check(fixture.job(tasks=6))
 
     assert_that(refusal, refused("quota"))
     assert_that(refusal.retry_after_ms, Is(None))
 
 
 def test_job_larger_than_the_whole_queue_is_refused_for_good():
-    """Symptom: a caller comes back each second for ever with a job that is never taken in.
+    """A caller must not be told to retry a job that can never be admitted.
 
-    Sequence: a job has more tasks than an entry may ever queue. Cause: the refusal is that of
-    a queue that is full now, and says when to come back.
+    A job has more tasks than an entry may queue at all. Refused like a job that meets a full
+    queue, it would be given a retry delay and be retried each second for ever.
     """
-    desk = Desk()
+    fixture = AdmissionFixture()
 
-    refusal = desk.check(desk.job(tasks=101))
+    refusal = fixture.check(fixture.job(tasks=101))
 
     assert_that(refusal, Not(Is(None)))
     assert_that(refusal.retry_after_ms, Is(None))
 
 
 def test_unknown_tenant_is_refused_for_good():
-    desk = Desk(open_tenants=False, tenants={"press": {}})
+    fixture = AdmissionFixture(open_tenants=False, tenants={"press": {}})
 
-    refusal = desk.check(desk.job(tenant="school"))
+    refusal = fixture.check(fixture.job(tenant="school"))
 
     assert_that(refusal, refused("unknown_tenant"))
     assert_that(refusal.retry_after_ms, Is(None))
 
 
-# -- what may come back ----------------------------------------------------------------
+# -- refusals with a retry -------------------------------------------------------------
 
 
 def test_queue_quota_counts_what_peers_have_queued():
-    desk = Desk(tenants={"school": {"max_queued": 5}})
-    desk.queue(tasks=2)
-    desk.loads = [Load(queued_by_tenant={"school": 2, "press": 50})]
+    fixture = AdmissionFixture(tenants={"school": {"max_queued": 5}})
+    fixture.queue(tasks=2)
+    fixture.loads = [Load(queued_by_tenant={"school": 2, "press": 50})]
 
-    assert_that(desk.check(desk.job()), Is(None))
-    refusal = desk.check(desk.job(tasks=2))
+    assert_that(fixture.check(fixture.job()), Is(None))
+    refusal = fixture.check(fixture.job(tasks=2))
     assert_that(refusal, refused("quota"))
     assert_that(refusal.retry_after_ms, GreaterThan(0))
 
 
-def test_pool_without_workers_says_come_back():
-    desk = Desk(workers=0)
+def test_pool_without_workers_refuses_with_a_retry():
+    fixture = AdmissionFixture(workers=0)
 
-    refusal = desk.check(desk.job())
+    refusal = fixture.check(fixture.job())
 
     assert_that(refusal, refused("no_worker"))
     assert_that(refusal.retry_after_ms, GreaterThan(0))
 
 
-def test_full_queue_says_come_back():
-    desk = Desk()
-    desk.queue(tasks=100)
+def test_full_queue_refuses_with_a_retry():
+    fixture = AdmissionFixture()
+    fixture.queue(tasks=100)
 
-    refusal = desk.check(desk.job())
+    refusal = fixture.check(fixture.job())
 
     assert_that(refusal, refused("queue_full"))
     assert_that(refusal.retry_after_ms, GreaterThan(0))
 
 
 def test_job_that_would_start_too_late_is_refused_at_once():
-    """Symptom: tasks are run whose callers have long given up.
+    """Tasks must not be run after their callers have given up.
 
-    Sequence: more is queued than can be started before the deadline. Cause: it's taken in.
+    This happens if a job is admitted while more work is queued ahead of it than can be started
+    before its deadline.
     """
-    desk = Desk(pool={"queue_target_ms": 60_000})
-    desk.queue(tasks=40)
+    fixture = AdmissionFixture(pool={"queue_target_ms": 60_000})
+    fixture.queue(tasks=40)
 
-    assert_that(desk.check(desk.job(limit_s=5.5)), Is(None))
-    assert_that(desk.check(desk.job(limit_s=4.5)), refused("overload"))
+    assert_that(fixture.check(fixture.job(limit_s=5.5)), Is(None))
+    assert_that(fixture.check(fixture.job(limit_s=4.5)), refused("overload"))
 
 
-def test_refused_jobs_get_turns_one_after_the_other():
-    """Symptom: under overload each job is refused tens of times.
+def test_refused_jobs_get_successive_retry_times():
+    """Under overload, a job must not be refused tens of times.
 
-    Sequence: many are refused at one moment. Cause: all are told the same time, come back
-    together and are nearly all refused again.
+    Many jobs are refused at the same moment. Given the same retry delay, all of them would
+    retry together and nearly all be refused again.
     """
-    desk = Desk()
-    desk.queue(tasks=40)
+    fixture = AdmissionFixture()
+    fixture.queue(tasks=40)
 
-    told = [desk.check(desk.job(tasks=8)).retry_after_ms for _ in range(5)]
+    delays_ms = [fixture.check(fixture.job(tasks=8)).retry_after_ms for _ in range(5)]
 
     spacing_ms = round(8 * RUN_S / SLOTS * 1000)
-    assert_that(told, Equals([3_000 + number * spacing_ms for number in range(5)]))
+    assert_that(delays_ms, Equals([3_000 + number * spacing_ms for number in range(5)]))
 
 
 def test_retry_after_is_bounded():
-    desk = Desk()
-    desk.queue(tasks=90)
+    fixture = AdmissionFixture()
+    fixture.queue(tasks=90)
 
-    told = [desk.check(desk.job(tasks=10)).retry_after_ms for _ in range(100)]
+    delays_ms = [fixture.check(fixture.job(tasks=10)).retry_after_ms for _ in range(100)]
 
-    assert_that(max(told), Equals(LONGEST_RETRY_MS))
+    assert_that(max(delays_ms), Equals(MAX_RETRY_AFTER_MS))
 
 
-def test_turns_of_one_tenant_do_not_put_off_another():
-    turns = Turns()
+def test_retry_times_of_tenants_are_independent():
+    schedule = RetrySchedule()
     for _ in range(10):
-        turns.take("press", now=0.0, wait_s=1.0, work_s=1.0)
+        schedule.reserve("press", now=0.0, wait_s=1.0, work_s=1.0)
 
-    assert_that(turns.take("school", now=0.0, wait_s=1.0, work_s=1.0), Equals(1.0))
+    assert_that(schedule.reserve("school", now=0.0, wait_s=1.0, work_s=1.0), Equals(1.0))
 
 
-def test_turns_that_are_past_are_free_again():
-    turns = Turns()
-    turns.take("press", now=0.0, wait_s=1.0, work_s=1.0)
+def test_past_retry_times_are_free_again():
+    schedule = RetrySchedule()
+    schedule.reserve("press", now=0.0, wait_s=1.0, work_s=1.0)
 
-    assert_that(turns.take("press", now=100.0, wait_s=0.5, work_s=1.0), Equals(0.5))
+    assert_that(schedule.reserve("press", now=100.0, wait_s=0.5, work_s=1.0), Equals(0.5))
 
 
 # -- quotas of running tasks -----------------------------------------------------------
@@ -281,24 +282,24 @@
         "other tenants do not count",
     ],
 )
-def test_part_of_the_quota(near: dict, allowed: int):
+def test_part_of_the_quota_that_an_entry_may_use(near: dict, allowed: int):
     assert_that(start_all(open_quotas(24, **near)), Equals(allowed))
 
 
 @given(limit=st.integers(12, 200), peers=st.integers(0, 3), domains=st.integers(1, 3))
 @settings(deadline=None, derandomize=True)
 def test_entries_cut_off_stay_within_the_quota_together(limit: int, peers: int, domains: int):
-    """Symptom: a tenant runs more than its quota while the network is cut.
+    """A tenant must not run more tasks than its quota during a network partition.
 
-    Sequence: no entry hears another; each starts what it may. Cause: their parts add up to
-    more than the quota.
+    No entry receives the heartbeats of another, and each starts as many tasks as it may. Their
+    parts must not add up to more than the quota.
     """
     quotas = open_quotas(limit, domains=domains, peers=peers)
 
     assert_that(start_all(quotas) * (peers + 1) * domains <= limit, Is(True))
 
 
-def test_ended_task_frees_its_place():
+def test_ended_task_frees_its_quota():
     quotas = open_quotas(2)
     start_all(quotas)
 
--- a/tests/test_decisions_health.py
+++ b/tests/test_decisions_health.py
@@ -1,4 +1,4 @@
-"""Which workers are trusted, how often a task is tried again, and how long tasks take."""
+"""Retry budget, ejection of failing workers, and expected run times."""
 
 from __future__ import annotations
 
@@ -7,27 +7,26 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, Is, LessThan
 
-from tests.test_decisions_admission import SLOTS, Desk
+from tests.test_decisions_admission import SLOTS, AdmissionFixture
 from zincwell.core._health import (
-    FIRST_EJECTION_S,
-    LONGEST_EJECTION_S,
+    MAX_EJECTION_S,
+    MIN_EJECTION_S,
     MIN_RESULTS,
     Health,
     may_eject_more,
     should_eject,
 )
-from zincwell.core._retries import MOST_TOKENS, RetryBudget
-from zincwell.core._runtimes import MIN_RESULTS as MIN_RUNS
-from zincwell.core._runtimes import RunTimes
+from zincwell.core._retries import MAX_TOKENS, RetryBudget
+from zincwell.core._runtimes import MIN_SAMPLES, RunTimes
 from zincwell.document import Retries
 
 # -- retries ---------------------------------------------------------------------------
 
 
 def test_retries_stay_within_their_share_of_requests():
-    """Symptom: when workers fail, entries send more retries than requests.
+    """Failing workers must not make an entry send more retries than requests.
 
-    Sequence: each of 1,000 requests fails and asks for a retry. Cause: no budget.
+    Each of 1,000 requests fails and asks for a retry; only the retry budget limits them.
     """
     budget, rules = RetryBudget(), Retries(budget=0.25)
     retries = 0
@@ -35,61 +34,62 @@
         budget.note_request(rules)
         retries += budget.take()
 
-    assert_that(retries, LessThan(0.25 * 1_000 + MOST_TOKENS + 1))
+    assert_that(retries, LessThan(0.25 * 1_000 + MAX_TOKENS + 1))
     assert_that(retries, GreaterThan(0.25 * 1_000 - 1))
 
 
-def test_calm_time_saves_up_few_retries():
+def test_retry_budget_is_capped():
     budget = RetryBudget()
     for _ in range(10_000):
         budget.note_request(Retries(budget=1.0))
 
-    assert_that(sum(budget.take() for _ in range(100)), Equals(int(MOST_TOKENS)))
+    assert_that(sum(budget.take() for _ in range(100)), Equals(int(MAX_TOKENS)))
 
 
 # -- health ----------------------------------------------------------------------------
 
 
-def fail(desk: Desk, name: str, *, times: int = MIN_RESULTS) -> bool:
-    """Fail tasks at a worker and tell whether it was ejected on the way."""
-    worker = desk.pool.worker_by_name[name]
+def fail(fixture: AdmissionFixture, name: str, *, times: int = MIN_RESULTS) -> bool:
+    """Record failures of a worker and return whether it was ejected by one of them."""
+    worker = fixture.pool.worker_by_name[name]
     ejected = False
     for _ in range(times):
-        worker.health.note_failure(now=desk.clock.monotonic())
-        ejected |= desk.pool.judge(worker)
+        worker.health.note_failure(now=fixture.clock.monotonic())
+        ejected |= fixture.pool.eject_if_outlier(worker)
     return ejected
 
 
 def test_worker_that_stands_out_is_ejected_for_a_while():
-    desk = Desk(workers=4)
+    fixture = AdmissionFixture(workers=4)
 
-    assert_that(fail(desk, "w0"), Is(True))
-    assert_that(desk.pool.slots(), Equals(3 * SLOTS))
-    desk.clock.now += FIRST_EJECTION_S
-    assert_that(desk.pool.slots(), Equals(4 * SLOTS))
+    assert_that(fail(fixture, "w0"), Is(True))
+    assert_that(fixture.pool.slots(), Equals(3 * SLOTS))
+    fixture.clock.now += MIN_EJECTION_S
+    assert_that(fixture.pool.slots(), Equals(4 * SLOTS))
 
 
 def test_poison_job_ejects_nobody():
-    """Symptom: one bad job empties the pool.
+    """One poison job must not eject all workers of a pool.
 
-    Sequence: its tasks fail wherever they run, at all workers by turns. Cause: workers are
-    judged by a fixed limit instead of against each other.
+    Its tasks fail on every worker in turn. A fixed limit on the failure rate would eject them
+    all; compared with its peers, no worker is an outlier.
     """
-    desk = Desk(workers=4)
-    ejected = [fail(desk, f"w{step % 4}", times=1) for step in range(80)]
+    fixture = AdmissionFixture(workers=4)
+    ejected = [fail(fixture, f"w{step % 4}", times=1) for step in range(80)]
 
     assert_that(any(ejected), Is(False))
-    assert_that(desk.pool.slots(), Equals(4 * SLOTS))
+    assert_that(fixture.pool.slots(), Equals(4 * SLOTS))
 
 
 def test_ejections_are_capped():
-    """Symptom: the pool has no workers left although most could serve.
+    """Ejections must not empty a pool most of whose workers could serve.
 
-    Sequence: three workers of eight fail all they get. Cause: no cap; by 0.34 two may go.
+    Three workers of eight fail all their tasks. With an ejection share of 0.34, only two of
+    them may be ejected.
     """
-    desk = Desk(workers=8)
+    fixture = AdmissionFixture(workers=8)
 
-    ejected = [fail(desk, name, times=8) for name in ("w0", "w1", "w2")]
+    ejected = [fail(fixture, name, times=8) for name in ("w0", "w1", "w2")]
 
     assert_that(ejected, Equals([True, True, False]))
     assert_that(may_eject_more(ejected=1, workers=8, share=0.34), Is(True))
@@ -97,9 +97,9 @@
 
 
 def test_guards_off_ejects_nobody():
-    desk = Desk(workers=4, pool={"guards": False})
+    fixture = AdmissionFixture(workers=4, pool={"guards": False})
 
-    assert_that(fail(desk, "w0", times=20), Is(False))
+    assert_that(fail(fixture, "w0", times=20), Is(False))
 
 
 def test_too_few_results_eject_nobody():
@@ -110,14 +110,14 @@
     assert_that(should_eject(health, [Health(), Health()]), Is(False))
 
 
-def test_probation_is_one_task_until_a_success():
+def test_probation_allows_one_task_until_a_success():
     health = Health()
     health.eject(now=0.0)
 
-    assert_that(health.is_ejected(now=FIRST_EJECTION_S - 0.1), Is(True))
-    assert_that(health.is_ejected(now=FIRST_EJECTION_S), Is(False))
+    assert_that(health.is_ejected(now=MIN_EJECTION_S - 0.1), Is(True))
+    assert_that(health.is_ejected(now=MIN_EJECTION_S), Is(False))
     assert_that(health.concurrency(SLOTS), Equals(1))
-    health.note_success(ratio=1.0, now=FIRST_EJECTION_S)
+    health.note_success(ratio=1.0, now=MIN_EJECTION_S)
     assert_that(health.concurrency(SLOTS), Equals(SLOTS))
 
 
@@ -130,28 +130,29 @@
         now = health.ejected_until
         health.note_failure(now=now)
 
-    assert_that(lasted, Equals([5.0, 10.0, 20.0, 40.0, LONGEST_EJECTION_S, LONGEST_EJECTION_S]))
+    assert_that(lasted, Equals([5.0, 10.0, 20.0, 40.0, MAX_EJECTION_S, MAX_EJECTION_S]))
 
 
 def test_late_failure_of_an_ejected_worker_does_not_count_as_probation():
-    """Symptom: a worker that failed once in a burst stays ejected for a minute.
+    """One burst of failures must not eject a worker for a minute.
 
-    Sequence: it has several tasks running when it's ejected; they fail right after. Cause:
-    each of them is taken for a failed try on probation and doubles the ejection.
+    The worker has several tasks running when it is ejected, and they fail right after. Counted
+    as failures on probation, each of them would double the ejection.
     """
     health = Health()
     health.eject(now=0.0)
     for _ in range(4):
         health.note_failure(now=0.1)
 
-    assert_that(health.ejected_until <= FIRST_EJECTION_S + 0.1, Is(True))
+    assert_that(health.ejected_until <= MIN_EJECTION_S + 0.1, Is(True))
 
 
 def test_late_success_of_an_ejected_worker_does_not_end_probation():
-    """Symptom: a worker that was ejected comes back with all its slots and fails them all.
+    """A worker must not return from an ejection with all its slots before it is tested.
 
-    Sequence: it has several tasks running when it's ejected; one completes right after.
-    Cause: it's taken for a successful try on probation.
+    The worker has several tasks running when it is ejected, and one completes right after.
+    Counted as a success on probation, it would end the probation, and the tasks on all slots
+    could fail again.
     """
     health = Health()
     health.eject(now=0.0)
@@ -165,7 +166,7 @@
 
 def test_declared_run_time_holds_until_some_are_measured():
     run_times = RunTimes(default_s=lambda _: 9.0)
-    for _ in range(MIN_RUNS - 1):
+    for _ in range(MIN_SAMPLES - 1):
         run_times.note("transcriber", 0.2)
     assert_that(run_times.expected_s("transcriber"), Equals(9.0))
 
--- a/tests/test_decisions_queue.py
+++ b/tests/test_decisions_queue.py
@@ -1,4 +1,4 @@
-"""The order of queued tasks: shares of tenants, bounds on waiting, and counts that add up."""
+"""Queue disciplines: shares of tenants, bounds on waiting, and consistent counts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from testtools.matchers import Equals, GreaterThan, HasLength, Is, LessThan
 
 from zincwell.core._jobs import Job, Task
-from zincwell.core._ordering import AGING, Queue, make_queue
+from zincwell.core._ordering import AGING_RATE, Queue, make_queue
 from zincwell.document import Ordering
 from zincwell.models import NO_VALUE, TaskSpec
 
@@ -30,7 +30,7 @@
     deadline_at: float = 1e9,
     urgency: str = "",
 ) -> Job:
-    """Make a job whose answer nobody waits for."""
+    """Create a job without an answer future."""
     job = Job(
         key=f"{key}@{tenant}",
         tenant=tenant,
@@ -80,10 +80,10 @@
 
 @pytest.mark.parametrize("ordering", FAIR)
 def test_flooding_tenant_gets_its_weight_and_no_more(ordering: Ordering):
-    """Symptom: a school waits minutes behind a press that sent a thousand pages.
+    """A tenant that floods the queue must not delay the others by minutes.
 
-    Sequence: the press queues a thousand jobs, then a school of three times its weight a
-    few. Cause: starts go by what is queued instead of by weights.
+    The press queues a thousand jobs, then the school, with three times its weight, a few.
+    Starts must follow the weights, not the numbers of queued jobs.
     """
     queue = open_queue(ordering, weight_by_tenant={"press": 1.0, "school": 3.0})
     push_all(queue, "press", count=1_000)
@@ -95,11 +95,11 @@
 
 
 @pytest.mark.parametrize("ordering", FAIR)
-def test_idle_tenant_saves_up_no_claim(ordering: Ordering):
-    """Symptom: a tenant that comes back in the evening shuts all others out for a while.
+def test_idle_tenant_accumulates_no_credit(ordering: Ordering):
+    """A tenant that returns from an idle time must not starve the others.
 
-    Sequence: two tenants start once each; one goes idle while the other starts hundreds;
-    the idle one comes back. Cause: it's still counted as served least.
+    Two tenants start tasks; one goes idle while the other starts hundreds; then the idle one
+    returns. With its old virtual time it would get all starts until it has caught up.
     """
     queue = open_queue(ordering)
     push_all(queue, "library", count=1)
@@ -114,12 +114,12 @@
 
 
 @pytest.mark.parametrize("ordering", FAIR)
-def test_newcomer_gets_no_claim_from_a_tenant_held_by_its_quota(ordering: Ordering):
-    """Symptom: whoever comes back from a pause shuts all others out for minutes.
+def test_new_tenant_gets_no_credit_from_a_tenant_at_its_quota(ordering: Ordering):
+    """A tenant that returns from an idle time must not starve the others for minutes.
 
-    Sequence: a press is held back by its quota while a school starts hundreds; the press may
-    start one; a library that was idle queues work at that moment. Cause: the newcomer starts
-    from what the press was served, which lags far behind, not from what the others were.
+    The press is held back by its quota while the school starts hundreds of tasks; then the
+    press may start one, and the idle library queues work. The library must not start from the
+    virtual time of the press, which lags far behind that of the school.
     """
     held = {"press"}
     queue = open_queue(ordering, may_start=lambda tenant: tenant not in held)
@@ -138,11 +138,11 @@
 
 @pytest.mark.parametrize("ordering", FAIR)
 def test_classes_share_what_their_tenant_gets(ordering: Ordering):
-    """Symptom: a tenant gets four fifths of the slots by spreading its jobs over classes.
+    """A tenant must not get four fifths of the slots by spreading its jobs over classes.
 
-    Sequence: a press queues jobs in four classes of urgency, a school of the same weight in
-    one. Cause: each class counts as a tenant of its own, though a class's weight is its share
-    against the other classes of the same tenant.
+    The press queues jobs in four urgency classes, the school, of the same weight, in one. The
+    weight of a class only counts against the other classes of its tenant; if each class were
+    scheduled like a tenant, the press would get four shares.
     """
     queue = open_queue(ordering)
     for urgency in ("now", "today", "week", "month"):
@@ -156,11 +156,11 @@
 
 
 @pytest.mark.parametrize("ordering", list(Ordering))
-def test_quota_holds_back_its_tenant_alone(ordering: Ordering):
-    """Symptom: nothing starts although slots are free.
+def test_quota_holds_back_only_its_tenant(ordering: Ordering):
+    """A tenant at its quota must not block the head of the queue while slots are free.
 
-    Sequence: a tenant at its quota has the job that goes next; another's job waits behind
-    it. Cause: the queue waits for its head instead of passing over who may not start.
+    The tenant at its quota has the first job, and a job of another tenant waits behind it. The
+    queue must skip tenants that may not start a task.
     """
     held = {"press"}
     queue = open_queue(ordering, may_start=lambda tenant: tenant not in held)
@@ -189,24 +189,24 @@
     assert_that(keys, Equals(["soon@school", "next@school", "late@school"]))
 
 
-def test_large_job_is_passed_only_by_what_came_in_bounded_time():
-    """Symptom: a book of 1,200 pages never starts while single pages keep coming.
+def test_large_job_is_overtaken_only_for_a_bounded_time():
+    """A large job, such as a book of 1,200 pages, must not be starved by small ones.
 
-    Sequence: a large job waits; a small one comes each second without end, faster than
-    one can start. Cause: by work left alone, each small one goes before the large one.
+    While a large job waits, a small one arrives each second, faster than one can start.
+    Ordered by remaining work alone, every small job would overtake the large one.
     """
     queue = open_queue(Ordering.FAIR_LEAST_WORK)
     large = make_job("book", tasks=20)
     queue.push(large)
-    bound_s = 20 * RUN_S / AGING
+    bound_s = 20 * RUN_S / AGING_RATE
     for second in range(int(2 * bound_s)):
         queue.push(make_job(f"page-{second}", arrived_at=float(second)))
 
-    passed_by = []
+    overtaken_by = []
     while (task := queue.pop()).job is not large:
-        passed_by.append(task.job.arrived_at)
+        overtaken_by.append(task.job.arrived_at)
 
-    assert_that(max(passed_by), LessThan(bound_s))
+    assert_that(max(overtaken_by), LessThan(bound_s))
 
 
 def test_job_with_less_work_left_goes_first():
@@ -217,24 +217,24 @@
     assert_that(queue.pop().job.key, Equals("page@school"))
 
 
-# -- tasks that come back, jobs that are cancelled -------------------------------------
+# -- requeued tasks and cancelled jobs -------------------------------------------------
 
 
 @pytest.mark.parametrize("ordering", list(Ordering))
-def test_task_pushed_back_goes_ahead_of_its_siblings(ordering: Ordering):
+def test_requeued_task_goes_ahead_of_its_siblings(ordering: Ordering):
     queue = open_queue(ordering)
     queue.push(make_job("book", tasks=3))
 
-    queue.push_back(queue.pop())
+    queue.requeue(queue.pop())
 
     assert_that([task.index for task in drain(queue)], Equals([0, 1, 2]))
 
 
-def test_last_task_pushed_back_keeps_the_place_of_its_job():
-    """Symptom: first come is served last; a job waits behind all that came after it.
+def test_last_requeued_task_keeps_the_position_of_its_job():
+    """A job must not fall behind later jobs when its last task is requeued.
 
-    Sequence: the last task of a job is placed, a later job's follows, the worker refuses the
-    first for want of room and it's pushed back. Cause: the job is queued as if it were new.
+    The last task of a job is placed, then a task of a later job; the worker refuses the first
+    one because it has no free slot, and it is requeued. The job must not be queued as new.
     """
     queue = open_queue(Ordering.FIFO)
     for key in ("first", "second", "third"):
@@ -242,17 +242,17 @@
     refused = queue.pop()
     queue.pop()
 
-    queue.push_back(refused)
+    queue.requeue(refused)
 
     assert_that(queue.pop().job.key, Equals("first@school"))
 
 
 @pytest.mark.parametrize("ordering", list(Ordering))
-def test_cancel_wave_leaves_the_queue_clean(ordering: Ordering):
-    """Symptom: the queue shows tasks that nobody waits for, or starts a cancelled one.
+def test_mass_cancellation_leaves_the_queue_consistent(ordering: Ordering):
+    """The queue must neither count nor start the tasks of cancelled jobs.
 
-    Sequence: 100 jobs of two tenants are queued, some with tasks placed; all of one tenant
-    are cancelled. Cause: counts or list entries of the cancelled jobs stay behind.
+    100 jobs of two tenants are queued, some of them with placed tasks; all jobs of one tenant
+    are cancelled. No counts or heap items of the cancelled jobs may remain.
     """
     queue = open_queue(ordering)
     doomed = [make_job(f"page-{n}", tenant="press", tasks=3) for n in range(50)]
@@ -305,24 +305,24 @@
 
 
 @pytest.mark.parametrize("ordering", list(Ordering))
-def test_wait_counts_a_task_once_however_often_it_came_back(ordering: Ordering):
-    """Symptom: an entry refuses nearly all work as overload, with one task in its queue.
+def test_wait_counts_a_requeued_task_once(ordering: Ordering):
+    """An entry with one queued task must not refuse nearly all work as overload.
 
-    Sequence: the last task of a job is placed; its worker has no room and refuses it; it's
-    pushed back and placed again, many times. Cause: each time the job is entered in the
-    queue's list again while its old line is still there, and the wait counts every line.
+    The last task of a job is placed, refused by a worker without a free slot, and requeued,
+    many times. If each requeue adds the job to the heap while its old item is still there, the
+    expected wait counts every item.
     """
     queue = open_queue(ordering)
     queue.push(make_job("page"))
     for _ in range(50):
-        queue.push_back(queue.pop())
+        queue.requeue(queue.pop())
 
     wait_s = queue.expected_wait_s(make_job("next", arrived_at=1.0), slots=1)
 
     assert_that(wait_s, Equals(RUN_S))
 
 
-# -- whatever happens ------------------------------------------------------------------
+# -- any sequence of operations --------------------------------------------------------
 
 STEPS = st.lists(
     st.one_of(
@@ -338,11 +338,11 @@
 @pytest.mark.parametrize("ordering", list(Ordering))
 @given(steps=STEPS)
 @settings(deadline=None, derandomize=True)
-def test_sizes_add_up_and_each_task_comes_out_once(ordering: Ordering, steps: list):
-    """Symptom: entries refuse work for a full queue that is empty, or start a task twice.
+def test_sizes_add_up_and_each_task_is_popped_once(ordering: Ordering, steps: list):
+    """An entry must not refuse work as ``queue_full`` with an empty queue, or start a task twice.
 
-    Sequence: any of queueing, starting, pushing back and cancelling. Cause: a count and
-    what is really waiting have come apart.
+    Both happen if a sequence of pushes, pops, requeues and cancellations makes the counts differ
+    from the tasks that are waiting.
     """
     queue = open_queue(ordering)
     jobs: list[Job] = []
@@ -357,7 +357,7 @@
             assert_that(task is None, Is(is_empty))
             taken += [task] if task else []
         elif step == "push_back" and taken:
-            queue.push_back(taken.pop(value % len(taken)))
+            queue.requeue(taken.pop(value % len(taken)))
         elif step == "discard" and jobs:
             job = jobs.pop(value % len(jobs))
             queue.discard(job)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""What the dispatcher makes of a worker's events, whatever of them was lost."""
+"""Handling of worker events by the dispatcher when some of them are lost."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class SilentStartTransport(WorkerTransport):
-    """A worker that is only heard again once the task is final."""
+    """A worker from which only the final event of each task arrives."""
 
     async def lease(self, *, entry: str, ttl_s: float) -> WorkerLease:
         return WorkerLease(lease="one", ttl_s=ttl_s, slots=8)
@@ -50,12 +50,11 @@
 
 
 async def test_run_time_of_a_task_whose_start_was_not_heard_of():
-    """A run time that is not known does not enter the expected one.
+    """An entry with an empty queue must not refuse nearly all work after a lost connection.
 
-    Symptom: after a lost connection an entry refuses nearly all work as overload, with an
-    empty queue. Sequence: a stream breaks before the worker's word that it has accepted
-    arrives; the task is final when the owner asks again, so all that it hears is the end.
-    Cause: the run is timed from 0, the time when the VM was started.
+    A stream breaks before the worker's acceptance arrives. When the owner reconnects, the task
+    is final, so only its final event arrives. Measured from 0, the time at which the VM was
+    started, the run time would raise the expected one, and admission would see an overload.
     """
     clock = ManualClock()
     shares = Shares(vm="a", entries=lambda: ["a"], demand=lambda _: False, clock=clock)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Workers that the platform's list moves between pools."""
+"""Workers that the list of VMs moves between pools."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from zincwell.ports import Vm
 
 
-def row(pool: str) -> Vm:
+def worker_vm(pool: str) -> Vm:
     return Vm(
         vm="worker-0",
         role="worker",
@@ -28,18 +28,18 @@
 async def test_worker_that_changes_its_pool_stands_in_one():
     """A worker that is moved to another pool leaves the first, and can leave the list later.
 
-    Symptom: an entry no longer learns of leaving workers, and sends tasks of one pool to a
-    worker of another. Sequence: the list names another pool for a worker; later it leaves the
-    list. Cause: a pool drops only workers that the list has lost altogether; the second pool's
-    lane replaces the first one's, and dropping the worker twice raises in the watcher's task,
-    which ends for good.
+    The list names another pool for a worker; later the worker leaves the list. If a pool drops
+    only workers that are missing from the list, tasks of the first pool are sent to a worker of
+    the second. The second lease task then replaces the first one, and dropping the worker twice
+    raises in the task that watches the list: it ends, and the entry no longer notices workers
+    that leave.
     """
     async with open_lone_entry() as lone:
         await lone.publish({"pools": {"print": {}}}, change_id="print")
         dispatcher = lone.entry.dispatcher
-        dispatcher.take_workers([row("braille")])
+        dispatcher.take_workers([worker_vm("braille")])
 
-        dispatcher.take_workers([row("print")])
+        dispatcher.take_workers([worker_vm("print")])
         moved = workers_by_pool(lone)
         dispatcher.take_workers([])
 
--- a/zincwell/core/_dispatch.py
+++ b/zincwell/core/_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: from the jobs that this entry owns to starts on workers and back."""
+"""Dispatch of owned jobs: queueing, placement on workers, worker events and answers."""
 
 from __future__ import annotations
 
@@ -20,18 +20,22 @@
 from zincwell.ports import Clock, EventKind, Vm, WorkerEvent, WorkerTransport
 from zincwell.settings import TimingSettings
 
-STOP_PERIOD_S = 0.1
+RUN_LIMIT_CHECK_PERIOD_S = 0.1
 GUEST_WEIGHT = 0.1
 
 log = logging.getLogger("zincwell.dispatch")
 
 
 class Dispatcher:
-    """Queues jobs, places their tasks and answers them.
-
-    :param open_worker: makes the transport to a worker.
-    :param on_starved: called when tasks wait for which there is no room.
-    :param observe: called with each final task, for metrics.
+    """Queues jobs, places their tasks on workers and completes their answers.
+
+    :param entry: seat id of this entry, by which workers know the owner of its tasks.
+    :param domain: failure domain of this entry.
+    :param shares: this entry's share of the slots and connections of each worker.
+    :param neighbours: returns the entries that share the quotas of running tasks.
+    :param open_worker: creates the transport to a worker.
+    :param on_starved: called when queued tasks are left after all free slots are taken.
+    :param observe: called with each task that reaches its final state, for metrics.
     :param observe_waste: called with the kind of each wasted message.
     """
 
@@ -62,29 +66,33 @@
         self._open_worker = open_worker
         self._observe = observe
         self._observe_waste = observe_waste
-        self._lane_by_worker: dict[str, asyncio.Task] = {}
-        self._aside: set[asyncio.Task] = set()
+        self._lease_task_by_worker: dict[str, asyncio.Task] = {}
+        self._background_tasks: set[asyncio.Task] = set()
 
     # -- configuration and workers -------------------------------------------------------
 
     def configure(self, document: Document) -> None:
-        """Take a configuration in force."""
+        """Apply the configuration that is now in force."""
         self.document = document
         for name, rules in document.pools.items():
             pool = self.pool_by_name.get(name)
             if pool is None:
                 self.pool_by_name[name] = self._make_pool(name, document)
             else:
-                self._change_rules(pool, rules)
+                self._update_rules(pool, rules)
 
     def take_workers(self, vms: list[Vm]) -> None:
-        """Take the list of workers of our domain."""
-        wanted = {vm.vm: vm for vm in vms if vm.pool in self.pool_by_name}
+        """Add and drop workers to match the list of VMs of this domain.
+
+        A worker whose pool has changed is dropped from the old pool and added to the new one;
+        workers of unknown pools are ignored.
+        """
+        listed_by_name = {vm.vm: vm for vm in vms if vm.pool in self.pool_by_name}
         for pool in self.pool_by_name.values():
-            kept = {vm.vm for vm in wanted.values() if vm.pool == pool.name}
+            kept = {vm.vm for vm in listed_by_name.values() if vm.pool == pool.name}
             for name in [name for name in pool.worker_by_name if name not in kept]:
                 self._drop_worker(pool, name)
-        for vm in wanted.values():
+        for vm in listed_by_name.values():
             pool = self.pool_by_name[vm.pool]
             worker = pool.worker_by_name.get(vm.vm)
             if worker is None:
@@ -95,13 +103,13 @@
     # -- jobs ----------------------------------------------------------------------------
 
     def pool_of(self, service: str) -> Pool | None:
-        """Return the pool that serves a service."""
+        """Return the pool that runs a service, or None if the service is not configured."""
         if self.document is None or service not in self.document.services:
             return None
         return self.pool_by_name[self.document.services[service].pool]
 
     def run(self, job: Job) -> None:
-        """Queue a job; its answer comes through ``job.answer``."""
+        """Queue a job; its answer is set on ``job.answer`` no later than its deadline."""
         pool = self.pool_by_name[job.pool]
         if job.idempotent:
             pool.retry_budget.note_request(self.document.retries)
@@ -112,7 +120,7 @@
         pool.wake()
 
     def give_up(self, job: Job, reason: str) -> None:
-        """End a job at once: drop what waits, stop what runs, answer."""
+        """End a job at once: drop its queued tasks, stop its placed ones and answer it."""
         if job.is_answered:
             return
         pool = self.pool_by_name[job.pool]
@@ -122,19 +130,19 @@
         self._answer(job, make_answer(job, reason=reason))
 
     def wake(self) -> None:
-        """Place what can be placed."""
+        """Schedule a placement round in each pool."""
         for pool in self.pool_by_name.values():
             pool.wake()
 
     def workers(self) -> list[Worker]:
-        """Return all workers."""
+        """Return the workers of all pools."""
         pools = self.pool_by_name.values()
         return [worker for pool in pools for worker in pool.worker_by_name.values()]
 
     def has_demand(self, pool: str) -> bool:
-        """Tell whether tasks are queued in a pool."""
-        known = self.pool_by_name.get(pool)
-        return known is not None and known.queue.size > 0
+        """Return whether tasks are queued in a pool."""
+        found = self.pool_by_name.get(pool)
+        return found is not None and found.queue.size > 0
 
     def queued_by_tenant(self) -> dict[str, int]:
         """Return the number of queued tasks by tenant."""
@@ -145,15 +153,15 @@
         return queued
 
     async def run_stop_rules(self) -> None:
-        """Stop tasks that run longer than their class allows; until cancelled."""
+        """Stop tasks that exceed the run time limit of their urgency class, until cancelled."""
         while True:
-            await asyncio.sleep(STOP_PERIOD_S)
+            await asyncio.sleep(RUN_LIMIT_CHECK_PERIOD_S)
             for pool in self.pool_by_name.values():
                 for worker in pool.all_workers():
                     for task in list(worker.placed_by_id.values()):
-                        self._stop_if_too_long(task)
+                        self._stop_if_over_limit(task)
 
-    def _stop_if_too_long(self, task: Task) -> None:
+    def _stop_if_over_limit(self, task: Task) -> None:
         rules = self.document.urgencies.get(task.job.urgency)
         if rules is None or not rules.max_run_ms or not task.started_at:
             return
@@ -163,14 +171,14 @@
             self.give_up(task.job, "ran_too_long")
 
     async def close(self) -> None:
-        """Release all workers."""
-        for lane in self._lane_by_worker.values():
-            lane.cancel()
+        """Stop renewing leases and close the connections to all workers."""
+        for lease_task in self._lease_task_by_worker.values():
+            lease_task.cancel()
         for pool in self.pool_by_name.values():
             for worker in pool.worker_by_name.values():
                 await worker.close()
 
-    # -- what workers say ----------------------------------------------------------------
+    # -- worker events -------------------------------------------------------------------
 
     def _on_event(self, task: Task, event: WorkerEvent) -> None:
         pool = self.pool_by_name[task.job.pool]
@@ -186,25 +194,28 @@
             pool.wake()
             return
         if event.kind is EventKind.COMPLETED:
-            self._complete(task, worker, event)
+            self._handle_completed(task, worker, event)
         elif event.kind is EventKind.FAILED:
-            self._fail(pool, task, worker, event)
+            self._handle_failed(pool, task, worker, event)
         elif event.kind is EventKind.STOPPED:
             self._end(task, Outcome.OUTCOME_UNKNOWN, "stopped")
         elif event.kind is EventKind.LOST:
-            self._lose(pool, task)
+            self._handle_lost(pool, task)
         else:
             self._observe_waste(f"{event.kind}_{event.reason}".replace(" ", "_"))
-            self._place_again(pool, task, event.reason)
+            self._requeue(pool, task, event.reason)
         pool.wake()
 
-    def _complete(self, task: Task, worker: Worker | None, event: WorkerEvent) -> None:
-        self._note_run(task, worker)
+    def _handle_completed(self, task: Task, worker: Worker | None, event: WorkerEvent) -> None:
+        self._note_run_time(task, worker)
         task.output = event.output
         self._end(task, Outcome.COMPLETED, "")
 
-    def _note_run(self, task: Task, worker: Worker | None) -> None:
-        """Note a run time, if it is known; a lost connection may have taken its beginning."""
+    def _note_run_time(self, task: Task, worker: Worker | None) -> None:
+        """Record a run time, if it is known.
+
+        The start time is unknown if the stream broke before the worker's acceptance arrived.
+        """
         if not task.started_at:
             return
         run_s = self._clock.monotonic() - task.started_at
@@ -214,18 +225,20 @@
             now = self._clock.monotonic()
             worker.health.note_success(ratio=run_s / max(expected_s, 0.001), now=now)
 
-    def _fail(self, pool: Pool, task: Task, worker: Worker | None, event: WorkerEvent) -> None:
+    def _handle_failed(
+        self, pool: Pool, task: Task, worker: Worker | None, event: WorkerEvent
+    ) -> None:
         if worker is not None:
             worker.health.note_failure(now=self._clock.monotonic())
-            left_s = task.started_at + self.run_times.expected_s(task.job.service)
-            worker.hold_slot(left_s - self._clock.monotonic())
-            if pool.judge(worker):
+            remaining_s = task.started_at + self.run_times.expected_s(task.job.service)
+            worker.hold_slot(remaining_s - self._clock.monotonic())
+            if pool.eject_if_outlier(worker):
                 log.warning("worker_ejected", extra={"worker": worker.name, "pool": pool.name})
         if not self._retry(pool, task, event.reason):
             self._end(task, Outcome.FAILED, event.reason)
 
     def _retry(self, pool: Pool, task: Task, reason: str) -> bool:
-        """Start an idempotent request again if its count and the budget allow it."""
+        """Requeue an idempotent request if its attempts and the retry budget allow it."""
         job = task.job
         if not job.idempotent or job.retries_left <= 0 or job.is_answered:
             return False
@@ -234,25 +247,25 @@
             return False
         job.retries_left -= 1
         self._observe_waste("retry")
-        self._place_again(pool, task, reason)
+        self._requeue(pool, task, reason)
         return True
 
-    def _place_again(self, pool: Pool, task: Task, reason: str) -> None:
-        """Queue a task again that has provably not run."""
+    def _requeue(self, pool: Pool, task: Task, reason: str) -> None:
+        """Queue a task again that has provably not run, or that may run again."""
         task.started = False
         task.started_at = 0.0
         if task.job.is_answered:
             self._end(task, Outcome.NOT_RUN, reason or "no_worker")
             return
         task.state = TaskState.QUEUED
-        pool.queue.push_back(task)
+        pool.queue.requeue(task)
 
     def _on_unsent(self, tasks: list[Task], reason: str) -> None:
         for task in tasks:
             pool = self.pool_by_name[task.job.pool]
             self.quotas.note_end(task.job.tenant)
             if task.state is not TaskState.FINAL:
-                self._place_again(pool, task, reason)
+                self._requeue(pool, task, reason)
             pool.wake()
 
     def _on_lost(self, tasks: list[Task]) -> None:
@@ -261,9 +274,9 @@
             pool = self.pool_by_name[task.job.pool]
             self.quotas.note_end(task.job.tenant)
             if task.state is not TaskState.FINAL:
-                self._lose(pool, task)
+                self._handle_lost(pool, task)
 
-    def _lose(self, pool: Pool, task: Task) -> None:
+    def _handle_lost(self, pool: Pool, task: Task) -> None:
         if not self._retry(pool, task, "worker_lost"):
             self._end(task, Outcome.OUTCOME_UNKNOWN, "worker_lost")
 
@@ -296,7 +309,7 @@
         )
 
     def _stop_placed(self, pool: Pool, job: Job) -> None:
-        """Stop a job's placed tasks, by one message to each worker."""
+        """Stop a job's placed tasks with one message per worker."""
         placed_by_worker: dict[str, list[Task]] = {}
         for task in job.tasks:
             if task.state is TaskState.PLACED:
@@ -304,14 +317,14 @@
         for name, tasks in placed_by_worker.items():
             worker = pool.find_worker(name)
             if worker is not None:
-                self._run_aside(worker.stop(tasks))
+                self._run_in_background(worker.stop(tasks))
 
-    def _run_aside(self, coroutine: Coroutine[Any, Any, None]) -> None:
+    def _run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(coroutine)
-        self._aside.add(task)
-        task.add_done_callback(self._aside.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
-    # -- making pools and workers --------------------------------------------------------
+    # -- pools and workers ---------------------------------------------------------------
 
     def _make_pool(self, name: str, document: Document) -> Pool:
         rules = document.pools[name]
@@ -327,7 +340,7 @@
             on_starved=self._on_starved,
         )
 
-    def _change_rules(self, pool: Pool, rules: PoolRules) -> None:
+    def _update_rules(self, pool: Pool, rules: PoolRules) -> None:
         if rules.ordering is not pool.rules.ordering:
             queue = self._make_queue(rules)
             for job in pool.queue.jobs():
@@ -347,7 +360,11 @@
     def make_worker(
         self, pool: Pool, vm: Vm, *, transport: WorkerTransport, timing: TimingSettings
     ) -> Worker:
-        """Make a worker whose tasks are ours."""
+        """Create a worker whose task events are handled by this dispatcher.
+
+        :param transport: transport to the worker, or to an entry that lends slots.
+        :param timing: lease and timeout settings that apply to it.
+        """
         return Worker(
             vm=vm,
             entry=self._entry,
@@ -363,13 +380,13 @@
     def _add_worker(self, pool: Pool, vm: Vm) -> None:
         worker = self.make_worker(pool, vm, transport=self._open_worker(vm), timing=self._timing)
         pool.worker_by_name[vm.vm] = worker
-        self._lane_by_worker[vm.vm] = asyncio.create_task(worker.run())
+        self._lease_task_by_worker[vm.vm] = asyncio.create_task(worker.run())
         log.info("worker_added", extra={"worker": vm.vm, "pool": pool.name})
 
     def _drop_worker(self, pool: Pool, name: str) -> None:
-        """Give a worker nothing new; streams of what runs there go on to their end."""
-        self._lane_by_worker.pop(name).cancel()
-        self._run_aside(pool.let_go(pool.take_out(name)))
+        """Start no more tasks on a worker; the streams of its running tasks stay open."""
+        self._lease_task_by_worker.pop(name).cancel()
+        self._run_in_background(pool.finish_retiring(pool.start_retiring(name)))
         log.info("worker_dropped", extra={"worker": name, "pool": pool.name})
 
     def _max_running(self, tenant: str) -> int:
--- a/zincwell/core/_jobs.py
+++ b/zincwell/core/_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs and their tasks, and the book of what this entry owns."""
+"""Jobs, their tasks, and the registry of the jobs that this entry owns."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from zincwell.ports import Clock
 from zincwell.settings import MemorySettings, TimingSettings
 
-#: Tenant of tasks that run here for entries of other domains; no caller can name it.
+#: Tenant of tasks that run here for entries of other domains; not available to callers.
 GUEST_TENANT = "~guests"
 
 
-#: Memory of a task of a kept answer besides its output (measured: 218 bytes).
-KEPT_TASK_BYTES = 220
+#: Memory charged per task of a cached answer besides its output: 218 bytes, rounded up.
+CACHED_TASK_OVERHEAD_BYTES = 220
 
 
 class TaskState(enum.Enum):
-    """Where a task is."""
+    """Life cycle state of a task."""
 
     QUEUED = enum.auto()
     PLACED = enum.auto()
@@ -36,9 +36,9 @@
 class Task:
     """One task of a job.
 
-    :ivar placement: number of the current placement; each gets an id of its own.
-    :ivar worker: the worker of the current placement.
-    :ivar started: whether a worker has accepted it.
+    :ivar placement: number of the current placement, a part of the task's id.
+    :ivar worker: name of the worker of the current placement.
+    :ivar started: whether that worker has accepted the task.
     """
 
     job: Job
@@ -56,7 +56,7 @@
 
     @property
     def id(self) -> str:
-        """Name of the task at its current placement."""
+        """Id of the task in its current placement."""
         return f"{self.job.key}#{self.index}.{self.placement}"
 
 
@@ -64,10 +64,14 @@
 class Job:
     """A submission or a request that this entry owns.
 
-    :ivar key: the caller's key and its tenant; the tenant keeps equal keys of two apart.
-    :ivar waiting: tasks that have no worker now.
+    :ivar key: the caller's key qualified by its tenant; see :func:`full_key`.
+    :ivar created_at: wall time at which the caller created the key.
+    :ivar deadline_at: monotonic time by which the job is answered.
+    :ivar arrived_at: monotonic time of arrival at this entry.
+    :ivar digest: digest of the content, by which a reused key is detected.
+    :ivar waiting: tasks that are queued, in order.
     :ivar unfinished: number of tasks that are not final.
-    :ivar retries_left: further starts allowed to an idempotent request.
+    :ivar retries_left: number of further starts allowed for an idempotent request.
     :ivar on_accepted: called with each task that a worker has accepted.
     """
 
@@ -91,7 +95,10 @@
     )
 
     def add_tasks(self, specs: list[TaskSpec], *, now: float) -> None:
-        """Add the tasks, all queued."""
+        """Add the tasks as queued.
+
+        :param now: monotonic time, in seconds.
+        """
         for index, spec in enumerate(specs):
             self.tasks.append(Task(job=self, index=index, spec=spec, queued_at=now))
         self.waiting.extend(self.tasks)
@@ -99,30 +106,32 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether the answer is out."""
+        """Whether the answer is set."""
         return self.answer.done()
 
 
 def full_key(*, key: str, tenant: str) -> str:
-    """Return the key by which entries know a job."""
+    """Return a job's key among entries; the tenant keeps equal keys of two tenants apart."""
     return f"{key}@{tenant}"
 
 
 def digest_of(submission: Submission) -> int:
-    """Return a digest of what a submission asks for, to tell a reused key."""
-    asked = (submission.service, submission.tasks)
-    return xxhash.xxh3_64_intdigest(msgspec.json.encode(asked))
+    """Return a digest of a submission's service and tasks, to detect a reused key."""
+    content = (submission.service, submission.tasks)
+    return xxhash.xxh3_64_intdigest(msgspec.json.encode(content))
 
 
 def make_answer(job: Job, *, reason: str = "") -> Answer:
-    """Make the whole answer of a job whose outcome is decided.
+    """Create the answer of a job whose outcome is decided.
+
+    A task that is not final by now is given up: a queued one has not run, the outcome of a
+    placed one is unknown. Outputs are included only if all tasks have completed.
 
-    A task that is not final by now was given up: queued ones never ran, for placed ones
-    nobody knows. Outputs go out only if the answer is complete, never a part of them.
+    :param reason: reason of a job that has not completed; by default that of one of its tasks.
     """
     for task in job.tasks:
         if task.state is not TaskState.FINAL:
-            _give_up(task)
+            _mark_given_up(task)
     outcome = _job_outcome({task.outcome for task in job.tasks})
     complete = outcome is Outcome.COMPLETED
     tasks = [
@@ -142,7 +151,7 @@
     )
 
 
-def _give_up(task: Task) -> None:
+def _mark_given_up(task: Task) -> None:
     placed = task.state is TaskState.PLACED
     task.outcome = Outcome.OUTCOME_UNKNOWN if placed else Outcome.NOT_RUN
     task.reason = "given_up"
@@ -159,21 +168,28 @@
 
 
 def _first_reason(job: Job) -> str:
-    bad = (task for task in job.tasks if task.outcome is not Outcome.COMPLETED)
-    bad = sorted(bad, key=lambda task: task.reason == "given_up")
-    return bad[0].reason if bad else ""
+    incomplete = (task for task in job.tasks if task.outcome is not Outcome.COMPLETED)
+    incomplete = sorted(incomplete, key=lambda task: task.reason == "given_up")
+    return incomplete[0].reason if incomplete else ""
 
 
 @dataclass(slots=True)
-class _Kept:
-    """An answer that is kept for resubmissions."""
+class _CachedAnswer:
+    """An answered job whose answer is cached for resubmissions.
+
+    :ivar size: memory that its outputs are charged with in bytes; 0 once they are dropped.
+    """
 
     job: Job
     size: int
 
 
 class JobBook:
-    """All jobs that this entry owns or has owned within the resubmission window."""
+    """Registry of the jobs that this entry owns or has owned within the resubmission window.
+
+    :ivar jobs_by_key: jobs, running and answered.
+    :ivar serial_by_key: serial of the grant under which each job was started.
+    """
 
     def __init__(self, *, clock: Clock, timing: TimingSettings, memory: MemorySettings):
         self._clock = clock
@@ -181,26 +197,29 @@
         self._memory = memory
         self.jobs_by_key: dict[str, Job] = {}
         self.serial_by_key: dict[str, int] = {}
-        self._kept_by_key: OrderedDict[str, _Kept] = OrderedDict()
-        self._kept_bytes = 0
+        self._cached_by_key: OrderedDict[str, _CachedAnswer] = OrderedDict()
+        self._cached_bytes = 0
         self._closed_by_key: dict[str, tuple[int, float]] = {}
 
     def add(self, job: Job, *, serial: int) -> None:
-        """Take a job in."""
+        """Register a job.
+
+        :param serial: serial of the grant of its key.
+        """
         self.jobs_by_key[job.key] = job
         self.serial_by_key[job.key] = serial
 
     def close_serial(self, key: str, serial: int) -> None:
-        """Note that we never start a key under a grant up to this one."""
+        """Close a key's grants up to a serial: this entry never starts the key under them."""
         serial = max(serial, self.closed_serial(key))
         self._closed_by_key[key] = (serial, self._clock.wall())
 
     def closed_serial(self, key: str) -> int:
-        """Return the latest grant of a key under which we never start it."""
+        """Return the highest closed serial of a key, or 0."""
         return self._closed_by_key.get(key, (0, 0.0))[0]
 
     async def wait_answered(self) -> None:
-        """Wait until all jobs are answered, also those that no open request waits for."""
+        """Wait until all jobs are answered, including those without an open request."""
         while True:
             open_answers = [job.answer for job in self.jobs_by_key.values() if not job.is_answered]
             if not open_answers:
@@ -208,45 +227,45 @@
             await asyncio.wait(open_answers)
 
     def keep(self, job: Job) -> None:
-        """Keep a finished job's answer, and drop the oldest outputs beyond the bound."""
+        """Cache a job's answer, and drop the oldest outputs until the memory limit is met."""
         answer = job.answer.result()
-        size = sum(KEPT_TASK_BYTES + len(bytes(task.output)) for task in answer.tasks)
-        self._kept_by_key[job.key] = _Kept(job=job, size=size)
-        self._kept_bytes += size
+        size = sum(CACHED_TASK_OVERHEAD_BYTES + len(bytes(task.output)) for task in answer.tasks)
+        self._cached_by_key[job.key] = _CachedAnswer(job=job, size=size)
+        self._cached_bytes += size
         job.tasks, job.waiting = [], deque()
-        for kept in self._kept_by_key.values():
-            if self._kept_bytes <= self._memory.max_answer_bytes:
+        for cached in self._cached_by_key.values():
+            if self._cached_bytes <= self._memory.max_answer_bytes:
                 return
-            self._drop_output(kept)
+            self._drop_outputs(cached)
 
     def forget_old(self) -> None:
-        """Drop finished jobs past the resubmission window."""
-        oldest = self._clock.wall() - self._timing.resubmission_window_s
-        oldest -= 2 * self._timing.clock_margin_s
-        old = [
+        """Drop answered jobs and closed serials past the resubmission window."""
+        cutoff = self._clock.wall() - self._timing.resubmission_window_s
+        cutoff -= 2 * self._timing.clock_margin_s
+        expired = [
             key
             for key, job in self.jobs_by_key.items()
-            if job.created_at < oldest and job.is_answered
+            if job.created_at < cutoff and job.is_answered
         ]
-        for key in [key for key, (_, at) in self._closed_by_key.items() if at < oldest]:
+        for key in [key for key, (_, at) in self._closed_by_key.items() if at < cutoff]:
             del self._closed_by_key[key]
-        for key in old:
+        for key in expired:
             del self.jobs_by_key[key]
             del self.serial_by_key[key]
-            kept = self._kept_by_key.pop(key, None)
-            self._kept_bytes -= kept.size if kept else 0
+            cached = self._cached_by_key.pop(key, None)
+            self._cached_bytes -= cached.size if cached else 0
 
-    def _drop_output(self, kept: _Kept) -> None:
-        """Drop an output; that the tasks have run is still remembered."""
-        if kept.size == 0:
+    def _drop_outputs(self, cached: _CachedAnswer) -> None:
+        """Replace a cached answer by one without outputs, which still says that the job has run."""
+        if cached.size == 0:
             return
-        self._kept_bytes -= kept.size
-        kept.size = 0
-        gone = Answer(
-            key=kept.job.key.rpartition("@")[0],
+        self._cached_bytes -= cached.size
+        cached.size = 0
+        placeholder = Answer(
+            key=cached.job.key.rpartition("@")[0],
             outcome=Outcome.OUTCOME_UNKNOWN,
             reason="answer_dropped",
             detail="the job has run, but its answer is no longer kept",
         )
-        kept.job.answer = asyncio.get_running_loop().create_future()
-        kept.job.answer.set_result(gone)
+        cached.job.answer = asyncio.get_running_loop().create_future()
+        cached.job.answer.set_result(placeholder)
--- a/zincwell/core/_pool.py
+++ b/zincwell/core/_pool.py
@@ -1,4 +1,4 @@
-"""One pool: its queue, its workers, and which task goes to which worker."""
+"""A pool: its queue, its workers, and the placement of tasks on workers."""
 
 from __future__ import annotations
 
@@ -19,14 +19,19 @@
 from zincwell.document import Pool as PoolRules
 from zincwell.ports import Clock
 
-DELAY_WINDOW = 64
+QUEUE_DELAY_SAMPLES = 64
 SPILL_AFTER_S = 0.03
 
 
 class Pool:
-    """Queue and workers of one pool as this entry has them.
-
-    :param on_starved: called when tasks wait for which there is no room.
+    """Queue and workers of one pool in this entry.
+
+    :param shares: this entry's share of the slots and connections of each worker.
+    :param quotas: quotas of running tasks by tenant.
+    :param seed: seed of the random choice between equally preferred workers.
+    :param on_starved: called when queued tasks are left after all free slots are taken.
+    :ivar lender_by_name: entries of other domains that lend us slots, as workers.
+    :ivar own_waited_at: monotonic time at which tasks of this domain's callers last waited.
     """
 
     def __init__(
@@ -50,22 +55,22 @@
         self.worker_by_name: dict[str, Worker] = {}
         self.lender_by_name: dict[str, Worker] = {}
         self._retiring: list[Worker] = []
-        self._full_since: float | None = None
+        self._saturated_since: float | None = None
         self.own_waited_at = NEVER
         self._shares = shares
         self._clock = clock
         self._random = random.Random(seed)
-        self._delays: deque[float] = deque(maxlen=DELAY_WINDOW)
-        self._pump_is_due = False
+        self._queue_delays_s: deque[float] = deque(maxlen=QUEUE_DELAY_SAMPLES)
+        self._placement_is_due = False
 
     def wake(self) -> None:
-        """Place what can be placed, once for all that happens in this turn of the loop."""
-        if not self._pump_is_due:
-            self._pump_is_due = True
-            asyncio.get_running_loop().call_soon(self._pump)
+        """Schedule a placement round; calls within one event loop iteration share one round."""
+        if not self._placement_is_due:
+            self._placement_is_due = True
+            asyncio.get_running_loop().call_soon(self._place_queued)
 
     def usable_workers(self) -> list[Worker]:
-        """Return the workers that may get a task."""
+        """Return the workers on which tasks may be started."""
         now = self._clock.monotonic()
         return [
             worker
@@ -74,46 +79,46 @@
         ]
 
     def slots(self) -> int:
-        """Return the slots of all usable workers, and those that other domains lend us."""
+        """Return the number of slots of all usable workers and of lenders in other domains."""
         lenders = [worker for worker in self.lender_by_name.values() if worker.is_usable()]
         return sum(worker.slots for worker in [*self.usable_workers(), *lenders])
 
     def room(self) -> int:
-        """Return the free slots of our own domain that this entry may use."""
-        return sum(self._rooms().values())
+        """Return the number of free slots in our domain that this entry may use."""
+        return sum(self._free_slots().values())
 
     def capacity(self) -> int:
-        """Return the slots of our own domain, free or not, that this entry may use."""
+        """Return the number of slots in our domain, free or not, that this entry may use."""
         return sum(self._shares.allowed(worker) for worker in self.usable_workers())
 
     def all_workers(self) -> list[Worker]:
-        """Return all workers that may run tasks of ours, here and in other domains."""
+        """Return all workers that may run our tasks, including lenders and retiring workers."""
         lenders = self.lender_by_name.values()
         return [*self.worker_by_name.values(), *lenders, *self._retiring]
 
-    def take_out(self, name: str) -> Worker:
-        """Give a worker nothing new; cancels and stop rules still reach its tasks."""
+    def start_retiring(self, name: str) -> Worker:
+        """Start no more tasks on a worker; its tasks can still be cancelled and stopped."""
         worker = self.worker_by_name.pop(name)
         self._retiring.append(worker)
         return worker
 
-    async def let_go(self, worker: Worker) -> None:
-        """Release a worker that was taken out, once what runs there has ended."""
+    async def finish_retiring(self, worker: Worker) -> None:
+        """Close the connections to a retiring worker after its last task has ended."""
         await worker.retire()
         self._retiring.remove(worker)
 
     def find_worker(self, name: str) -> Worker | None:
-        """Return a worker, lender or worker that was taken out, by name."""
+        """Return a worker, lender or retiring worker by name, or None."""
         found = self.worker_by_name.get(name) or self.lender_by_name.get(name)
         retiring = (worker for worker in self._retiring if worker.name == name)
         return found or next(retiring, None)
 
     def largest_memory_mb(self) -> int:
-        """Return the memory of the largest worker, in MB."""
+        """Return the memory of the largest worker in MB."""
         return max((worker.vm.memory_mb for worker in self.worker_by_name.values()), default=0)
 
-    def judge(self, worker: Worker) -> bool:
-        """Eject a worker that fails much more than its peers; tell whether it was."""
+    def eject_if_outlier(self, worker: Worker) -> bool:
+        """Eject a worker whose failure rate is an outlier; return whether it was ejected."""
         now = self._clock.monotonic()
         workers = list(self.worker_by_name.values())
         if not self.rules.guards or worker.health.is_ejected(now=now):
@@ -127,33 +132,33 @@
         worker.health.eject(now=now)
         return True
 
-    def _pump(self) -> None:
-        self._pump_is_due = False
+    def _place_queued(self) -> None:
+        self._placement_is_due = False
         if not self.queue.size:
-            self._note_fullness(is_full=False)
+            self._track_saturation(is_saturated=False)
             return
-        rooms = Rooms(room_by_worker=self._rooms(), source=self._random)
-        self._fill(rooms)
-        self._note_fullness(is_full=self.queue.size > 0 and not rooms)
+        rooms = Rooms(room_by_worker=self._free_slots(), source=self._random)
+        self._place_on(rooms)
+        self._track_saturation(is_saturated=self.queue.size > 0 and not rooms)
         if self.wants_to_spill():
-            self._fill(Rooms(room_by_worker=self.lender_rooms(), source=self._random))
+            self._place_on(Rooms(room_by_worker=self.lender_rooms(), source=self._random))
         if self.queue.size:
             self._on_starved()
 
     def wants_to_spill(self) -> bool:
-        """Tell whether tasks have waited long enough to be run in another domain.
+        """Return whether tasks have waited long enough to be run in another domain.
 
-        Guests are not passed on: a chain of entries would stand between a task and its owner,
-        each link of which can break.
+        No task is sent on while tasks of other domains are queued here: those would then be
+        separated from their owner by a chain of entries, each link of which can fail.
         """
-        if not self.rules.spill or self._full_since is None:
+        if not self.rules.spill or self._saturated_since is None:
             return False
         if self.queue.size_by_tenant.get(GUEST_TENANT):
             return False
-        return self._clock.monotonic() - self._full_since >= SPILL_AFTER_S
+        return self._clock.monotonic() - self._saturated_since >= SPILL_AFTER_S
 
     def lender_rooms(self) -> dict[Worker, int]:
-        """Return the free slots that entries of other domains have promised us."""
+        """Return the free slots that entries of other domains lend us, by lender."""
         rooms = {
             worker: worker.slots - len(worker.placed_by_id)
             for worker in self.lender_by_name.values()
@@ -161,19 +166,19 @@
         }
         return {worker: room for worker, room in rooms.items() if room > 0}
 
-    def _note_fullness(self, *, is_full: bool) -> None:
-        """Note since when tasks have waited for slots without a break, and own ones at all."""
+    def _track_saturation(self, *, is_saturated: bool) -> None:
+        """Record since when the pool is saturated, and when tasks of our own last waited."""
         if self.queue.size > self.queue.size_by_tenant.get(GUEST_TENANT, 0):
             self.own_waited_at = self._clock.monotonic()
-        if not is_full:
-            self._full_since = None
-        elif self._full_since is None:
-            self._full_since = self._clock.monotonic()
+        if not is_saturated:
+            self._saturated_since = None
+        elif self._saturated_since is None:
+            self._saturated_since = self._clock.monotonic()
 
-    def _fill(self, rooms: Rooms) -> None:
-        """Place queued tasks in the rooms given, each worker's in one message.
+    def _place_on(self, rooms: Rooms) -> None:
+        """Place queued tasks on free slots, with one message per worker.
 
-        :param rooms: free slots; what is left of them afterwards stays in it.
+        :param rooms: free slots; those that are taken are removed from it.
         """
         batch_by_worker: dict[Worker, list[Task]] = {}
         while rooms:
@@ -182,13 +187,13 @@
                 break
             worker = rooms.take()
             self.quotas.note_start(task.job.tenant)
-            self._delays.append(self._clock.monotonic() - task.queued_at)
+            self._queue_delays_s.append(self._clock.monotonic() - task.queued_at)
             batch_by_worker.setdefault(worker, []).append(task)
         for worker, tasks in batch_by_worker.items():
             worker.place(tasks)
 
-    def _rooms(self) -> dict[Worker, int]:
-        """Return the free slots that this entry may use, by worker."""
+    def _free_slots(self) -> dict[Worker, int]:
+        """Return the free slots in our domain that this entry may use, by worker."""
         rooms = {}
         for worker in self.usable_workers():
             if worker.is_backing_off() or worker.open_streams >= self._shares.connections(worker):
--- a/zincwell/core/_quotas.py
+++ b/zincwell/core/_quotas.py
@@ -1,9 +1,10 @@
-"""Quotas of tenants over several entries, without a coordinator.
+"""Quotas of running tasks per tenant, enforced by several entries without a coordinator.
 
-The quota is split evenly among the failure domains that have entries. Within a domain it is
-split among the entries, and what a peer does not use is lent by what its heartbeats say. An
-entry that hears nothing from a peer keeps to its even split, so that a cut leads to too few
-running tasks, never to more than the quota for longer than a heartbeat.
+A quota is split evenly among the failure domains that have entries. Within a domain it is
+split among the entries; while no peer has tasks of the tenant queued, an entry may also use
+what its peers leave unused according to their heartbeats. The part of a peer whose heartbeats
+are missing stays reserved for it, so that a network partition leads to too few running tasks,
+and the quota is never exceeded for longer than a heartbeat.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Neighbours:
-    """The entries that share quotas with us.
+    """The entries that share quotas with this one.
 
     :ivar domains: number of domains that have entries.
     :ivar peers: number of other entries in our domain.
-    :ivar loads: what those that are heard have told of their use.
+    :ivar loads: last reported loads of the peers whose heartbeats arrive.
     """
 
     domains: int
@@ -30,9 +31,9 @@
 
 
 class Quotas:
-    """Counts the running tasks of tenants and tells whether one more may start.
+    """Counts the running tasks of each tenant and decides whether one more may start.
 
-    :param limit: returns a tenant's quota of running tasks; 0 for none.
+    :param limit: returns a tenant's quota of running tasks; 0 for no limit.
     :param neighbours: returns the entries that share the quotas.
     """
 
@@ -47,27 +48,27 @@
 
     def note_end(self, tenant: str) -> None:
         """Count a task that is no longer placed."""
-        left = self.running_by_tenant[tenant] - 1
-        if left:
-            self.running_by_tenant[tenant] = left
+        remaining = self.running_by_tenant[tenant] - 1
+        if remaining:
+            self.running_by_tenant[tenant] = remaining
         else:
             del self.running_by_tenant[tenant]
 
     def may_start(self, tenant: str) -> bool:
-        """Tell whether one more task of a tenant may be placed."""
+        """Return whether one more task of a tenant may be placed."""
         limit = self._limit(tenant)
         if not limit:
             return True
         return self.running_by_tenant.get(tenant, 0) < self._allowed(tenant, limit)
 
     def _allowed(self, tenant: str, limit: int) -> int:
-        near = self._neighbours()
-        in_domain = max(1, limit // max(1, near.domains))
-        even = max(1, in_domain // (near.peers + 1))
-        unheard = near.peers - len(near.loads)
-        if any(load.queued_by_tenant.get(tenant, 0) for load in near.loads):
-            return even
-        used = sum(load.running_by_tenant.get(tenant, 0) for load in near.loads)
-        # Rounded up for those that are not heard, or the parts of all would pass the quota.
-        theirs = math.ceil(in_domain / (near.peers + 1))
-        return max(even, in_domain - used - unheard * theirs)
+        neighbours = self._neighbours()
+        domain_quota = max(1, limit // max(1, neighbours.domains))
+        even_share = max(1, domain_quota // (neighbours.peers + 1))
+        silent_peers = neighbours.peers - len(neighbours.loads)
+        if any(load.queued_by_tenant.get(tenant, 0) for load in neighbours.loads):
+            return even_share
+        used_by_peers = sum(load.running_by_tenant.get(tenant, 0) for load in neighbours.loads)
+        # Rounded up for silent peers: rounded down, the parts could add up to more than the quota.
+        peer_share = math.ceil(domain_quota / (neighbours.peers + 1))
+        return max(even_share, domain_quota - used_by_peers - silent_peers * peer_share)
