--- a/proofs/mutations.py
+++ b/proofs/mutations.py
@@ -162,7 +162,7 @@
     _worker(
         "leaving-ignored",
         "core/_worker.py",
-        "        if self._says_leaving or self.vm.state is VmState.LEAVING:\n",
+        "        if self._reports_leaving or self.vm.state is VmState.LEAVING:\n",
         "        if False:\n",
         "test_leaving_worker_gets_nothing_new",
     ),
@@ -172,7 +172,7 @@
         "            worker.hold_slot(left_s - self._clock.monotonic())\n"
         "            if pool.judge(worker):\n",
         "            if False:\n",
-        "test_worker_that_fails_everything_does_not_swallow_the_queue",
+        "test_worker_that_fails_every_task_does_not_get_the_whole_queue",
     ),
     _worker(
         "siblings-run-on",
@@ -190,7 +190,7 @@
         "core/_configuration.py",
         "        if change.base != self.version:\n",
         "        if False:\n",
-        "test_operators_race",
+        "test_concurrent_changes_from_one_version",
     ),
     _configuration(
         "ids-ignored",
@@ -213,7 +213,7 @@
         "entry.py",
         "                self.snapshots.run(),\n",
         "",
-        "test_entry_born_after_the_retention",
+        "test_entry_started_after_log_retention_loads_snapshot",
     ),
 ]
 
@@ -389,7 +389,7 @@
         ),
         tests=(
             "tests/test_workers.py"
-            "::test_worker_that_fails_everything_does_not_swallow_the_queue",
+            "::test_worker_that_fails_every_task_does_not_get_the_whole_queue",
         ),
     ),
 ]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: one document, in force everywhere, never backwards."""
+"""The configuration: the same document on every entry, with versions that never go back."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 async def weights(cluster: Cluster) -> list[float | None]:
-    """Return that tenant's weight as each entry has it."""
+    """Return the weight of the tenant ``school`` on each live entry."""
     found = []
     for entry in cluster.live_entries():
         shown = await cluster.get(entry.operators + "/v1/config")
@@ -40,14 +40,14 @@
 
 
 async def wait_in_force(cluster: Cluster, weight: float) -> float:
-    """Wait until a weight is in force everywhere and return the seconds it took."""
-    began = time.monotonic()
+    """Wait until a weight is in force on every live entry; return the time taken in seconds."""
+    started_at = time.monotonic()
 
     async def everywhere() -> bool:
         return set(await weights(cluster)) == {weight}
 
     await cluster.wait_for(f"weight {weight} everywhere", everywhere)
-    return time.monotonic() - began
+    return time.monotonic() - started_at
 
 
 async def test_change_is_in_force_everywhere(cluster: Cluster):
@@ -60,11 +60,11 @@
     assert_that((status, verdict["accepted"]), Equals((200, True)))
 
 
-async def test_operators_race(cluster: Cluster):
-    """Of two changes made from the same version one is accepted, the same everywhere.
+async def test_concurrent_changes_from_one_version(cluster: Cluster):
+    """Of two changes made from the same version, one is accepted, the same on every entry.
 
-    Symptom: half of the entries run one document, half the other. Sequence: two operators
-    publish at the same moment at two entries. Cause: each entry saw its own change first.
+    Two operators publish at the same time at two entries. If each entry applied the change that
+    it saw first, half of the entries would run one document and half the other.
     """
     await cluster.open(domains=TWO_DOMAINS)
     one, other = cluster.entry_by_vm["entry-0"], cluster.entry_by_vm["entry-3"]
@@ -85,9 +85,8 @@
 async def test_answer_of_the_log_lost_after_the_append(cluster: Cluster):
     """A change whose append was not answered comes into force once.
 
-    Symptom: an operator repeats a change that had worked and undoes what came in between.
-    Sequence: the log takes the record and its answer is lost. Cause: no answer looks like no
-    effect.
+    The log appends the record, but its answer is lost, which looks as if the append had failed.
+    An operator who then repeats the change must not undo a change made in between.
     """
     await cluster.open(domains=TWO_DOMAINS)
     entry = cluster.entry_by_vm["entry-0"]
@@ -103,17 +102,16 @@
 
 
 async def test_log_outage_keeps_the_configuration_and_the_service(cluster: Cluster):
-    """While the log is down, jobs are served under the configuration as it was.
+    """While the log is down, jobs are served under the last configuration.
 
-    Symptom: entries refuse work during an outage of the platform. Sequence: the log and the
-    list of VMs stop to answer; jobs and a change come in; both return. Cause: serving waits
-    for the platform.
+    The log and the list of VMs stop answering; jobs and a change arrive; then both services
+    return. If serving jobs depended on the platform, entries would refuse work in the outage.
     """
     await cluster.open(domains=TWO_DOMAINS)
     entry = cluster.entry_by_vm["entry-0"]
     await cluster.control(cluster.log, down=True)
     await cluster.control(cluster.directory, down=True)
-    await cluster.wait_for("log missed", lambda: _misses_log(cluster, entry))
+    await cluster.wait_for("log missed", lambda: _has_lost_log(cluster, entry))
 
     answers = [
         await cluster.submit(entry, make_submission(key=f"kariakoo/{n}"))
@@ -131,28 +129,29 @@
     await wait_in_force(cluster, 2.0)
 
 
-async def test_entry_born_in_an_outage_learns_from_peers(cluster: Cluster):
-    """An entry that starts while its domain is cut off serves under its peers' configuration.
+async def test_entry_started_in_an_outage_loads_configuration_from_peers(cluster: Cluster):
+    """An entry that starts while the log is down serves under the configuration of its peers.
 
-    Symptom: replaced VMs stay useless until the platform is back. Sequence: the domain loses
-    the platform, one of its entries is replaced. Cause: the configuration is on the log only.
+    An entry is replaced while its domain can't reach the log. If the configuration could be read
+    only from the log, replaced VMs would serve nothing until the platform is back.
     """
     await cluster.open(domains=TWO_DOMAINS)
     await cluster.control(cluster.log, down=True)
 
-    born = await cluster.add_entry("kariakoo")
-    await cluster.wait_for("ready", lambda: _is_ready(cluster, born))
-    await cluster.wait_for("workers", lambda: _has_worker(cluster, born))
-    status, answer = await cluster.submit(born, make_submission(key="kariakoo/a"))
+    new_entry = await cluster.add_entry("kariakoo")
+    await cluster.wait_for("ready", lambda: _is_ready(cluster, new_entry))
+    await cluster.wait_for("workers", lambda: _has_worker(cluster, new_entry))
+    status, answer = await cluster.submit(new_entry, make_submission(key="kariakoo/a"))
 
     assert_that((status, answer["outcome"]), Equals((200, "completed")))
 
 
-async def test_entry_born_after_the_retention(cluster: Cluster):
-    """An entry that starts when the first records are gone starts from a snapshot.
+async def test_entry_started_after_log_retention_loads_snapshot(cluster: Cluster):
+    """An entry that starts after the log has dropped the first records loads a snapshot.
 
-    Symptom: a replaced VM never becomes ready. Sequence: the log drops the records that the
-    configuration and the seats came from. Cause: the stream can't be read from its beginning.
+    The log drops the records from which the configuration and the seats were computed. The
+    streams can't be read from their beginning, so without snapshots a replaced VM would never
+    become ready.
     """
     cluster.timing = {"snapshot_s": 1.0}
     await cluster.open(domains={"kariakoo": (2, 1)})
@@ -165,18 +164,18 @@
     for old in cluster.live_entries():
         await old.kill()
 
-    born = await cluster.add_entry("kariakoo")
-    await cluster.wait_for("ready", lambda: _is_ready(cluster, born))
+    new_entry = await cluster.add_entry("kariakoo")
+    await cluster.wait_for("ready", lambda: _is_ready(cluster, new_entry))
 
     assert_that(await weights(cluster), Equals([2.0]))
 
 
 async def test_version_never_goes_back(cluster: Cluster):
-    """An entry that hears an older configuration from a peer keeps its own.
+    """An entry that receives an older configuration from a peer keeps its own.
 
-    Symptom: a change comes into force and reverts. Sequence: one domain is cut off from the
-    platform, the other gets a change; both meet again. Cause: the latest message is taken for
-    the latest version.
+    One domain is partitioned from the platform while the other gets a change; then the
+    partition heals. If the latest message were taken for the latest version, the change would
+    come into force and be reverted.
     """
     await cluster.open(domains=TWO_DOMAINS)
     ahead = next(e for e in cluster.entry_by_vm.values() if e.domain == "kariakoo")
@@ -194,7 +193,7 @@
     assert_that(seen, AllMatch(Equals(2.0)))
 
 
-async def test_bad_document_is_refused_by_field(cluster: Cluster):
+async def test_invalid_document_is_refused_with_its_field(cluster: Cluster):
     await cluster.open(domains={"kariakoo": (1, 1)})
     entry = cluster.entry_by_vm["entry-0"]
     shown = await cluster.get(entry.operators + "/v1/config")
@@ -208,7 +207,7 @@
     assert_that(shown["version"], LessThan(1))
 
 
-async def _misses_log(cluster: Cluster, entry: EntryProcess) -> bool:
+async def _has_lost_log(cluster: Cluster, entry: EntryProcess) -> bool:
     return not (await cluster.status(entry))["log_reached"]
 
 
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -1,4 +1,4 @@
-"""What an entry accepts, refuses and remembers of tasks that it runs for others."""
+"""Spilled tasks at the lender: which are accepted, refused and fenced, and for how long."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class FakeDispatcher:
-    """Takes jobs and never starts them."""
+    """Records jobs and never starts them."""
 
     def __init__(self) -> None:
         queue = SimpleNamespace(size=0, size_by_tenant={})
@@ -49,7 +49,7 @@
 
 
 class Lender:
-    """Guests of one entry under a clock moved by hand."""
+    """Spilled tasks of one entry, with a manual clock."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -67,7 +67,7 @@
         return self.guests.lease(pool=POOL, entry=entry, ttl_s=0.8).lease
 
     async def start(self, lease: str, task_id: str = "k@t#0.1") -> WorkerEvent:
-        """Start one task and return the first thing said of it."""
+        """Start one task and return its first event."""
         start = Start(id=task_id, service="transcriber", payload=Raw(b"{}"))
         events = self.guests.start(pool=POOL, entry="owner", lease=lease, tasks=[start])
         return await anext(events)
@@ -81,11 +81,12 @@
     return Lender()
 
 
-async def test_start_that_lay_in_a_socket_past_its_lease_is_refused(lender: Lender):
-    """A start that arrives after its lease has lapsed is not run.
+async def test_start_that_arrives_after_its_lease_expired_is_refused(lender: Lender):
+    """A start that arrives after its lease has expired is refused.
 
-    Symptom: a page that the owner has given up on is embossed after all. Sequence: the lender
-    is paused with the start in its socket, and wakes. Cause: it does not notice the time.
+    The lender's process is paused while the start waits in its socket buffer. When it resumes,
+    the owner has already stopped waiting for the task; a lender that does not compare the time
+    with the lease would run it all the same.
     """
     lease = lender.lease()
     lender.clock.now += 1.0
@@ -97,11 +98,11 @@
 
 
 async def test_start_that_arrives_after_its_fence_is_refused(lender: Lender):
-    """A start that is overtaken by the watch that fenced it is not run.
+    """A start that arrives after a watch has fenced its id is refused.
 
-    Symptom: a double start after a broken connection. Sequence: the start is held up; the
-    owner asks on a new connection, is told "never seen" and starts the task at home; the
-    start arrives. Cause: what was denied once has to be denied for good.
+    The start is delayed. The owner watches the task on a new connection, is told "never seen"
+    and starts the task in its own domain; then the delayed start arrives. Unless the fence is
+    permanent, the task is started twice.
     """
     lease = lender.lease()
 
@@ -112,8 +113,8 @@
     assert_that((event.kind, event.reason), Equals((EventKind.REFUSED, "seen")))
 
 
-async def test_refused_guest_is_remembered_as_refused(lender: Lender):
-    """An owner that missed a refusal is told the same when it asks again."""
+async def test_watch_of_a_refused_task_repeats_the_refusal(lender: Lender):
+    """An owner that missed a refusal receives the same refusal when it watches the task."""
     lender.dispatcher.run = lambda job: lender.dispatcher.give_up(job, "full")
 
     event = await lender.start(lender.lease())
@@ -124,11 +125,10 @@
 
 
 async def test_id_is_remembered_past_every_deadline(lender: Lender):
-    """An id is forgotten only when its owner can't act upon it any more.
+    """An id is retained until its owner can no longer act on an answer about it.
 
-    Symptom: a double start long after a cut. Sequence: a guest ends; the lender forgets its id;
-    the owner, cut off until now, asks about it and is told "never seen". Cause: forgetting
-    makes the fence untrue.
+    If the lender drops the id of a finished task too early, an owner that was partitioned until
+    then is told "never seen" and starts the task a second time.
     """
     await lender.watch()
     lender.clock.now += MAX_DEADLINE_MS / 1000
@@ -138,16 +138,16 @@
     lender.guests.forget_old()
 
     assert_that(refused.reason, Equals("seen"))
-    assert_that(lender.guests._guest_by_id, Equals({}))
+    assert_that(lender.guests._spilled_by_id, Equals({}))
 
 
 async def test_full_table_neither_accepts_nor_fences(lender: Lender, monkeypatch):
-    """When no more ids can be remembered, nothing is said that would have to be remembered.
+    """A lender with a full table of ids neither accepts nor fences further ids.
 
-    Symptom: a double start under a flood of guests. Cause: the bound on memory is kept by
-    forgetting ids whose owners may still ask.
+    Keeping the memory bound by evicting ids whose owners may still watch them would let a task
+    be started twice when many tasks are spilled at once.
     """
-    monkeypatch.setattr(_guests, "MAX_REMEMBERED", 1)
+    monkeypatch.setattr(_guests, "MAX_KNOWN_IDS", 1)
     await lender.watch("other@t#0.1")
 
     event = await lender.start(lender.lease())
@@ -158,9 +158,9 @@
 
 
 async def test_slots_are_promised_once(lender: Lender):
-    """Two entries that ask at the same time are not promised the same slots.
+    """Two entries that ask for a lease at the same time are not promised the same slots.
 
-    Symptom: a refused start for each second guest. Cause: each is told of all idle slots.
+    If each were granted all idle slots, every second start would be refused.
     """
     first = lender.guests.lease(pool=POOL, entry="one", ttl_s=0.8)
     second = lender.guests.lease(pool=POOL, entry="two", ttl_s=0.8)
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize("why", ["draining", "own queue", "setting off"])
 async def test_nothing_is_promised(lender: Lender, why: str):
-    """A lender that leaves, has work of its own waiting or must not lend promises no slot."""
+    """A lender that drains, has a backlog of its own or has spill turned off promises no slot."""
     lender.is_draining = why == "draining"
     lender.dispatcher.pool.queue.size = 3 if why == "own queue" else 0
     lender.dispatcher.pool.rules.spill = why != "setting off"
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The calls of the operators' listener: what they check and what they answer."""
+"""The HTTP calls of the operators' listener: validation and answers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Caller:
-    """Calls one entry without a token."""
+    """Calls one entry's operators' listener without a token."""
 
     def __init__(self, *, url: str, session: aiohttp.ClientSession):
         self._url, self._session = url, session
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b"\xff", b'{"domains": 7}', b"[" * 20_000])
-async def test_check_of_what_is_no_document(caller: Caller, body: bytes):
+async def test_check_of_malformed_document(caller: Caller, body: bytes):
     status, answer = await caller.send("POST", "/v1/config/check", body)
 
     assert_that(status, Equals(400))
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "told"),
+    ("changes", "expected_detail"),
     [
         ({"base": "x"}, "$.base"),
         ({"id": None}, "$.id"),
@@ -75,13 +75,13 @@
         ({"document": {**DOCUMENT, "pools": {}}}, "$.services.transcriber.pool"),
     ],
 )
-async def test_malformed_proposal_is_refused_by_field(
-    lone: LoneEntry, caller: Caller, changes: dict[str, Any], told: str
+async def test_malformed_proposal_is_refused_with_its_field(
+    lone: LoneEntry, caller: Caller, changes: dict[str, Any], expected_detail: str
 ):
     status, answer = await caller.post("/v1/config", {**make_proposal(base=0), **changes})
 
     assert_that(status, Equals(400))
-    assert_that(answer["detail"], Contains(told))
+    assert_that(answer["detail"], Contains(expected_detail))
     assert_that(lone.entry.configuration.version, Equals(0))
 
 
@@ -101,15 +101,15 @@
 
 
 async def test_proposal_at_an_entry_that_has_not_read_its_base(lone: LoneEntry):
-    """A change made from a version that this entry will read in a moment is no lost race.
+    """A change whose base this entry is about to read is not rejected as conflicting.
 
-    Symptom: an operator who publishes twice in a row is told of a lost race, without any
-    change in between. Sequence: the first change is accepted at one entry; the second goes to
-    another one, a few milliseconds behind. Cause: whatever differs is taken for older.
+    An operator publishes twice in a row. The first change is accepted at one entry, the second
+    goes to another that is a few milliseconds behind. If each base that differs from the version
+    read were taken for older, the second would be rejected without any change in between.
     """
     proposal = msgspec.convert(make_proposal(base=1), Proposal)
     publishing = asyncio.ensure_future(lone.entry.publisher.publish(proposal))
-    await asyncio.sleep(0)  # Runs it up to where it waits.
+    await asyncio.sleep(0)  # Let publish() run until it waits for version 1.
     await lone.publish({"tenants": {"radio": {}}}, change_id="theirs")
 
     verdict = (await publishing).ok_value
@@ -120,7 +120,7 @@
 async def test_proposal_at_an_entry_that_stays_behind(
     lone: LoneEntry, caller: Caller, monkeypatch: pytest.MonkeyPatch
 ):
-    """An entry that can't read the base of a change says so, and that it did nothing."""
+    """An entry that does not reach the base of a change refuses it as ``entry_behind``."""
     monkeypatch.setattr("zincwell.core._publishing.VERDICT_WAIT_S", 0.1)
     status, answer = await caller.post("/v1/config", make_proposal(base=7))
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Slots owned and lent: whatever the order of messages, no slot is used by two entries."""
+"""Slots owned and lent: no slot is used by two entries, in whatever order messages arrive."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from tests.ownership_model import ManualClock
 from zincwell.core._messages import Lending
-from zincwell.core._shares import Shares, part_of
+from zincwell.core._shares import Shares, allocate_part
 from zincwell.ports import Vm
 
 VMS = ["a", "b", "c"]
@@ -23,7 +23,7 @@
 
 @dataclass
 class SlotView:
-    """What Shares looks at of a worker, as one entry sees it."""
+    """The attributes of a worker that Shares reads, as one entry sees them."""
 
     name: str
     slots: int
@@ -40,7 +40,7 @@
 
 @dataclass
 class Offer:
-    """A lending on its way, then the borrower's answer to it."""
+    """A lending in transit, and the borrower's answer to it once it has arrived."""
 
     lender: str
     borrower: str
@@ -79,7 +79,7 @@
 
     @rule(lender=ENTRIES, borrower=ENTRIES)
     def offer(self, lender: str, borrower: str) -> None:
-        """Send a heartbeat, one at a time to each peer, as the daemon does."""
+        """Send a heartbeat with a lending; each peer has at most one unanswered heartbeat."""
         waiting = [offer for offer in self.offers if not offer.is_given_up]
         pairs = {(offer.lender, offer.borrower) for offer in waiting}
         if lender == borrower or (lender, borrower) in pairs:
@@ -104,7 +104,7 @@
     @precondition(lambda self: self.offers)
     @rule(index=st.integers(0, 5))
     def give_up_waiting(self, index: int) -> None:
-        """Stop waiting for an answer; the offer may still arrive, late."""
+        """Time out an unanswered heartbeat; it may still arrive later."""
         offer = self.offers[index % len(self.offers)]
         offer.is_given_up = True
         if offer.answer is not None:
@@ -112,7 +112,7 @@
 
     @rule(lender=ENTRIES, borrower=ENTRIES, wants=st.booleans())
     def exchange(self, lender: str, borrower: str, wants: bool) -> None:
-        """Send an offer and have the answer at once."""
+        """Send an offer and deliver its answer at once."""
         self.demand[lender] = wants
         before = len(self.offers)
         self.offer(lender, borrower)
@@ -171,6 +171,6 @@
 def test_parts_make_up_the_whole():
     for total in range(20):
         for count in range(1, 9):
-            parts = [part_of(total, index=i, count=count, worker="w") for i in range(count)]
+            parts = [allocate_part(total, index=i, count=count, worker="w") for i in range(count)]
             assert_that(sum(parts), Equals(total))
             assert_that(max(parts) - min(parts) <= 1, Equals(True))
--- a/tests/test_spill.py
+++ b/tests/test_spill.py
@@ -1,4 +1,4 @@
-"""Tasks of a full domain on idle slots of others, and at most one start of each all the same."""
+"""Tasks of a full domain run on idle slots of other domains, each started at most once."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 async def test_burst_in_one_domain_uses_idle_slots_of_another(cluster: Cluster):
     """Tasks of a full domain run on idle slots of another, each started once.
 
-    Symptom: a class waits for its pages while the next district's workers idle. Sequence: a
-    job of five times the domain's slots arrives. Cause: an entry knows its own domain only.
+    A job with five times as many tasks as the domain has slots arrives. An entry that used only
+    workers of its own domain would queue the tasks while other domains' workers are idle.
     """
     await cluster.open(domains=TWO_DOMAINS, pools=SPILLING)
     owner = _entry_of(cluster, "kariakoo")
@@ -36,8 +36,8 @@
     assert_that(sorted((await cluster.starts_by_task()).values()), Equals([1] * 40))
 
 
-async def test_setting_off_keeps_tasks_at_home(cluster: Cluster):
-    """A pool with spill off uses no other domain's workers."""
+async def test_spill_off_keeps_tasks_in_their_domain(cluster: Cluster):
+    """A pool with spill turned off uses no workers of other domains."""
     await cluster.open(domains=TWO_DOMAINS)
     owner = _entry_of(cluster, "kariakoo")
 
@@ -47,46 +47,46 @@
     assert_that(await _starts_in(cluster, "ubungo"), Equals([]))
 
 
-async def test_own_load_of_a_lender_goes_first(cluster: Cluster):
-    """A domain with tasks of its own in the queue starts none of another's before them.
+async def test_own_tasks_of_a_lender_run_before_spilled_tasks(cluster: Cluster):
+    """A domain with queued tasks of its own starts no spilled tasks before them.
 
-    Symptom: a station's bulletin waits behind the flood of a neighbour. Sequence: another
-    domain's burst runs on idle slots; then the domain has more tasks of its own than slots.
-    Cause: guests are taken in as if they were its own.
+    A burst of another domain runs on idle slots; then the lending domain receives more tasks of
+    its own than it has slots. If it admitted spilled tasks like its own, its own tasks would
+    wait behind the burst.
     """
     await cluster.open(domains=EQUAL_DOMAINS, pools=SPILLING)
     owner, lender = _entry_of(cluster, "kariakoo"), _entry_of(cluster, "ubungo")
     own = make_submission(key="ubungo/own", tasks=40, sleep_ms=100)
     sending = asyncio.ensure_future(cluster.submit(owner, _burst(tasks=100, sleep_ms=300)))
-    await _wait_for_guests(cluster, 4)
+    await _wait_for_spilled(cluster, 4)
 
     _, own_answer = await cluster.submit(lender, own)
     _, answer = await sending
 
     ids = [start["id"] for start in await _starts_in(cluster, "ubungo")]
-    places = [place for place, name in enumerate(ids) if name.startswith("ubungo/")]
-    # Starts sent in the same moment can reach the worker in another order, so the first and
-    # the last slots' worth of its own are left out.
-    first, last = places[SLOTS], places[-SLOTS - 1]
-    guests_between = last - first + 1 - (len(places) - 2 * SLOTS)
+    positions = [position for position, name in enumerate(ids) if name.startswith("ubungo/")]
+    # Starts sent at the same time can reach the worker in any order, so the first and the last
+    # SLOTS own tasks are left out.
+    first, last = positions[SLOTS], positions[-SLOTS - 1]
+    spilled_between = last - first + 1 - (len(positions) - 2 * SLOTS)
     assert_that(echoes(answer), Equals(list(range(100))))
     assert_that(echoes(own_answer), Equals(list(range(40))))
-    assert_that(guests_between, Equals(0))
+    assert_that(spilled_between, Equals(0))
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
 
 
-async def test_cut_that_heals_while_guests_run(cluster: Cluster):
-    """A job completes although its domain was cut off from its guests for a moment.
+async def test_short_partition_while_spilled_tasks_run(cluster: Cluster):
+    """A job completes although its domain was partitioned from the lender for a short time.
 
-    Symptom: a double start, or a page lost to a short cut. Sequence: guests run; the domains
-    lose each other; the owner asks on new connections until they have each other again.
-    Cause: the stream that would have told the outcome is gone.
+    The partition breaks the streams that would have reported the outcomes of the spilled tasks.
+    The owner has to watch the tasks on new connections until the partition heals; otherwise it
+    would start them twice or lose their outputs.
     """
     cluster.timing = {"lost_grace_s": 20.0}
     await cluster.open(domains=TWO_DOMAINS, pools=SPILLING)
     owner = _entry_of(cluster, "kariakoo")
     sending = asyncio.ensure_future(cluster.submit(owner, _burst(tasks=20, sleep_ms=2_500)))
-    await _wait_for_guests(cluster, 8)
+    await _wait_for_spilled(cluster, 8)
 
     cluster.cut_domains("kariakoo", "ubungo")
     await cluster.wait_for("noticed", lambda: _has_logged(owner, "watch_lost"))
@@ -97,65 +97,64 @@
     assert_that(sorted((await cluster.starts_by_task()).values()), Equals([1] * 20))
 
 
-async def test_cut_that_lasts_while_guests_run(cluster: Cluster):
-    """A job cut off from its guests ends at once, honestly, and they are started nowhere else.
+async def test_lasting_partition_while_spilled_tasks_run(cluster: Cluster):
+    """A job partitioned from its spilled tasks ends with an unknown outcome, without restarts.
 
-    Symptom: a bulletin item airs in two regions. Sequence: guests run in another domain; the
-    domains lose each other for good. Cause: the owner takes what it can't hear of for not
-    run, and starts it at home.
+    Spilled tasks run in another domain when a lasting partition begins. An owner that took tasks
+    without news for tasks that have not run would start them a second time in its own domain.
     """
     await cluster.open(domains=TWO_DOMAINS, pools=SPILLING)
     owner = _entry_of(cluster, "kariakoo")
     submission = _burst(tasks=30, sleep_ms=LONG_MS)
     sending = asyncio.ensure_future(cluster.submit(owner, submission))
-    await _wait_for_guests(cluster, 8)
+    await _wait_for_spilled(cluster, 8)
 
     cluster.cut_domains("kariakoo", "ubungo")
     _, answer = await sending
     _, own = await cluster.submit(owner, make_submission(key="kariakoo/own", tasks=8))
     cluster.heal_domains("kariakoo", "ubungo")
-    _, again = await cluster.submit(owner, {**submission, "attempt": 2})
+    _, repeated = await cluster.submit(owner, {**submission, "attempt": 2})
 
     assert_that(answer["outcome"], Equals("outcome_unknown"))
     assert_that(answer["reason"], Equals("worker_lost"))
-    assert_that(again, Equals(answer))
+    assert_that(repeated, Equals(answer))
     assert_that(echoes(own), Equals(list(range(8))))
-    await _assert_honest(cluster, submission, answer)
+    await _assert_outcomes_match_ledgers(cluster, submission, answer)
 
 
-async def test_lender_killed_while_guests_run(cluster: Cluster):
-    """A job whose lender dies ends with an unknown outcome, not with a second start.
+async def test_lender_killed_while_spilled_tasks_run(cluster: Cluster):
+    """A job whose lender is killed ends with an unknown outcome, not with a second start.
 
-    Symptom: a page is embossed twice. Sequence: guests run; the entry that runs them for us
-    is killed. Cause: its workers go on, but nobody is left who could say so.
+    The lender is killed while it runs spilled tasks. Its workers go on running them, but no
+    process is left that could report the outcome to the owner.
     """
     await cluster.open(domains=TWO_DOMAINS, pools=SPILLING)
     owner = _entry_of(cluster, "kariakoo")
     submission = _burst(tasks=30, sleep_ms=LONG_MS)
     sending = asyncio.ensure_future(cluster.submit(owner, submission))
-    await _wait_for_guests(cluster, 8)
+    await _wait_for_spilled(cluster, 8)
 
     await _entry_of(cluster, "ubungo").kill()
     _, answer = await sending
 
     assert_that(answer["outcome"], Equals("outcome_unknown"))
-    await _assert_honest(cluster, submission, answer)
+    await _assert_outcomes_match_ledgers(cluster, submission, answer)
 
 
-async def test_lender_restarted_at_its_address_while_guests_run(cluster: Cluster):
-    """A lender that has restarted proves nothing of the tasks that it ran before.
+async def test_lender_restarted_at_its_address_while_spilled_tasks_run(cluster: Cluster):
+    """A fence from a restarted lender does not count for tasks that its earlier process ran.
 
-    Symptom: a page is embossed twice after a roll-out. Sequence: guests run; the lender is
-    killed and comes back at the same address while its owner asks it about them; it has never
-    seen them, fences them, and the owner starts them at home. Cause: the fence is a proof only
-    from the process that was asked to start them.
+    The lender is killed while it runs spilled tasks, and another process takes its address while
+    the owner watches them. The new process has never seen the ids and fences them. Only the
+    process that was asked to start a task can prove by a fence that the task has not run; an
+    owner that accepts the fence starts the tasks twice.
     """
     cluster.timing = {"lost_grace_s": 12.0}
     await cluster.open(domains=TWO_DOMAINS, pools=SPILLING)
     owner, lender = _entry_of(cluster, "kariakoo"), _entry_of(cluster, "ubungo")
     submission = _burst(tasks=30, sleep_ms=LONG_MS)
     sending = asyncio.ensure_future(cluster.submit(owner, submission))
-    await _wait_for_guests(cluster, 8)
+    await _wait_for_spilled(cluster, 8)
 
     await lender.kill()
     successor = await cluster.add_entry("ubungo")
@@ -163,44 +162,44 @@
     _, answer = await sending
 
     assert_that(answer["outcome"], Equals("outcome_unknown"))
-    await _assert_honest(cluster, submission, answer)
+    await _assert_outcomes_match_ledgers(cluster, submission, answer)
 
 
-async def test_lender_paused_while_guests_run(cluster: Cluster):
-    """A job whose lender is paused past all patience ends, and waking it starts nothing twice.
+async def test_lender_paused_while_spilled_tasks_run(cluster: Cluster):
+    """A job whose lender is paused past every timeout ends, and nothing is started twice.
 
-    Symptom: a double start when a frozen VM comes back. Sequence: guests run, more starts lie
-    in the sockets of a stopped process; the owner gives up; the process goes on. Cause: what
-    was sent to it before the pause is still there afterwards.
+    The lender's process is stopped while it runs spilled tasks, with further starts waiting in
+    its socket buffers. The owner times out, and the process resumes. The starts sent before the
+    pause are still in the buffers then and must not be run.
     """
     await cluster.open(domains=TWO_DOMAINS, pools=SPILLING)
     owner, lender = _entry_of(cluster, "kariakoo"), _entry_of(cluster, "ubungo")
     submission = _burst(tasks=60, sleep_ms=300)
     sending = asyncio.ensure_future(cluster.submit(owner, submission))
-    await _wait_for_guests(cluster, 8)
+    await _wait_for_spilled(cluster, 8)
 
     lender.signal(signal.SIGSTOP)
     _, answer = await sending
     lender.signal(signal.SIGCONT)
     await cluster.wait_for("lender answers", lambda: _answers(cluster, lender))
-    _, again = await cluster.submit(owner, {**submission, "attempt": 2})
+    _, repeated = await cluster.submit(owner, {**submission, "attempt": 2})
 
     assert_that(answer["outcome"], Equals("outcome_unknown"))
-    assert_that(again, Equals(answer))
-    await _assert_honest(cluster, submission, answer)
+    assert_that(repeated, Equals(answer))
+    await _assert_outcomes_match_ledgers(cluster, submission, answer)
 
 
 async def test_silent_connection_to_a_lender(cluster: Cluster):
-    """A job completes although its open connections to a lender went silent for good.
+    """A job completes although its open connections to a lender go silent permanently.
 
-    Symptom: a caller waits until its deadline for pages that are done. Sequence: guests run;
-    something between the domains forgets the open connections. Cause: as with a worker, the
-    outcome goes into a connection that no longer leads anywhere.
+    A middlebox between the domains drops the state of the open connections while spilled tasks
+    run. As with a worker, the outcomes are written to connections that no longer deliver them,
+    and the caller would wait until its deadline for tasks that are done.
     """
     await cluster.open(domains=TWO_DOMAINS, pools=SPILLING)
     owner, lender = _entry_of(cluster, "kariakoo"), _entry_of(cluster, "ubungo")
     sending = asyncio.ensure_future(cluster.submit(owner, _burst(tasks=20, sleep_ms=2_000)))
-    await _wait_for_guests(cluster, 8)
+    await _wait_for_spilled(cluster, 8)
 
     silenced = lender.relay.silence_open_connections()
     _, answer = await sending
@@ -210,39 +209,39 @@
     assert_that(sorted((await cluster.starts_by_task()).values()), Equals([1] * 20))
 
 
-async def test_cancelling_a_job_stops_its_guests(cluster: Cluster):
+async def test_cancelling_a_job_stops_its_spilled_tasks(cluster: Cluster):
     """A cancelled job leaves nothing running in another domain.
 
-    Symptom: a neighbour's slots stay taken by work that nobody wants. Sequence: a caller
-    cancels a job that has spilled. Cause: stops go to the workers of the own domain only.
+    A caller cancels a job with spilled tasks. If stops were sent only to workers of the owner's
+    domain, the lender's slots would stay occupied by cancelled work.
     """
     await cluster.open(domains=TWO_DOMAINS, pools=SPILLING)
     owner = _entry_of(cluster, "kariakoo")
     submission = _burst(tasks=30, sleep_ms=LONG_MS)
     sending = asyncio.ensure_future(cluster.submit(owner, submission))
-    await _wait_for_guests(cluster, 8)
+    await _wait_for_spilled(cluster, 8)
 
     query = {"key": submission["key"], "tenant": submission["tenant"]}
     async with cluster.session.delete(owner.callers + "/v1/submissions", params=query) as response:
         await response.read()
     _, answer = await sending
 
-    await cluster.wait_for("guests stopped", lambda: _is_idle(cluster, "ubungo"))
+    await cluster.wait_for("spilled tasks stopped", lambda: _is_idle(cluster, "ubungo"))
     assert_that(answer["reason"], Equals("cancelled"))
-    await _assert_honest(cluster, submission, answer)
+    await _assert_outcomes_match_ledgers(cluster, submission, answer)
 
 
-async def test_draining_lender_finishes_its_guests(cluster: Cluster):
-    """An entry that drains ends only when its guests have.
+async def test_draining_lender_finishes_its_spilled_tasks(cluster: Cluster):
+    """A draining entry exits only after its spilled tasks have ended.
 
-    Symptom: a job fails in one domain because another rolls out. Sequence: guests run; SIGTERM
-    reaches their lender, whose own callers have nothing in flight. Cause: it takes itself for
-    idle.
+    A lender without jobs of its own callers receives SIGTERM while it runs spilled tasks. If it
+    counted only its own jobs, it would exit at once, and a rollout in one domain would fail a
+    job of another.
     """
     await cluster.open(domains=TWO_DOMAINS, pools=SPILLING)
     owner, lender = _entry_of(cluster, "kariakoo"), _entry_of(cluster, "ubungo")
     sending = asyncio.ensure_future(cluster.submit(owner, _burst(tasks=20, sleep_ms=4_000)))
-    await _wait_for_guests(cluster, 8)
+    await _wait_for_spilled(cluster, 8)
 
     code = await lender.terminate()
     _, answer = await sending
@@ -253,10 +252,10 @@
 
 
 async def test_no_lender_is_asked_without_demand(cluster: Cluster):
-    """Entries of different domains exchange no leases while each has room.
+    """Entries of different domains exchange no leases while each has free slots.
 
-    Symptom: at 28 domains an idle entry spends its budget on polls. Cause: leases are kept up
-    with everybody just in case.
+    If each entry kept leases with all others in advance, an idle entry in a system of 28 domains
+    would spend its message budget on polling.
     """
     await cluster.open(domains=TWO_DOMAINS, pools=SPILLING)
     owner, lender = _entry_of(cluster, "kariakoo"), _entry_of(cluster, "ubungo")
@@ -268,11 +267,11 @@
         assert_that("lender_added" in entry.log_text(), Equals(False))
 
 
-def test_ledger_counts_a_guest_as_the_task_of_its_owner():
-    """Two starts of one task in two domains count as two, whatever their ids."""
-    at_home, abroad = "kariakoo/a.b@school#3.1", "kariakoo/a.b@school#3.2#0.1"
+def test_ledger_counts_a_spilled_task_as_the_task_of_its_owner():
+    """Starts of one task in two domains count as two starts of it, though their ids differ."""
+    own_id, spilled_id = "kariakoo/a.b@school#3.1", "kariakoo/a.b@school#3.2#0.1"
 
-    assert_that({task_name(at_home), task_name(abroad)}, Equals({"kariakoo/a.b@school#3"}))
+    assert_that({task_name(own_id), task_name(spilled_id)}, Equals({"kariakoo/a.b@school#3"}))
 
 
 def _burst(*, tasks: int, sleep_ms: float) -> dict:
@@ -293,17 +292,17 @@
     return [start for ledger in ledgers for start in ledger]
 
 
-async def _wait_for_guests(cluster: Cluster, count: int) -> None:
-    """Wait until a number of tasks has been started in the lending domain."""
+async def _wait_for_spilled(cluster: Cluster, count: int) -> None:
+    """Wait until a number of spilled tasks has been started in the lending domain."""
 
     async def started() -> bool:
         return len(await _starts_in(cluster, "ubungo")) >= count
 
-    await cluster.wait_for(f"{count} guests", started)
+    await cluster.wait_for(f"{count} spilled tasks", started)
 
 
-async def _assert_honest(cluster: Cluster, submission: dict, answer: dict) -> None:
-    """Check by the ledgers that none started twice and that what is said not to have run has not.
+async def _assert_outcomes_match_ledgers(cluster: Cluster, submission: dict, answer: dict) -> None:
+    """Check by the ledgers that no task started twice and that none reported as not run has run.
 
     :param answer: a final answer that is not complete.
     """
@@ -318,7 +317,7 @@
 
 
 async def _is_idle(cluster: Cluster, domain: str) -> bool:
-    """Tell whether the workers of a domain run nothing, by what their leases say."""
+    """Tell whether the workers of a domain run nothing according to their leases."""
     call = {"entry": "test", "ttl_s": 1.0}
     leases = [await cluster.post(w.url + "/leases", call) for w in _workers_of(cluster, domain)]
     return all(lease["running"] == 0 for _, lease in leases)
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""Outcomes and connections between entries and workers."""
+"""Task outcomes under faults of workers and of their connections to entries."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 async def test_silent_connection_while_new_ones_work(cluster: Cluster):
-    """A job completes although its open connections to workers go silent for good.
+    """A job completes although its open connections to workers go silent permanently.
 
-    Symptom: a caller waits until its deadline for a page that is long done. Sequence: tasks
-    run; something between forgets the open connections and swallows what goes over them.
-    Cause: the worker answered into a connection that no longer leads anywhere.
+    A middlebox drops the state of the open connections and discards all further packets while
+    tasks run. The worker writes its answers to connections that no longer deliver them, and the
+    caller would wait until its deadline for tasks that are done.
     """
     await cluster.open(domains=ONE_ENTRY)
     entry = cluster.entry_by_vm["entry-0"]
@@ -40,11 +40,12 @@
 
 
 async def test_idle_connection_gone_silent_before_a_start(cluster: Cluster):
-    """A start into a silent idle connection is fenced and the task runs elsewhere, once.
+    """A start sent on a silent idle connection is fenced, and the task is started once elsewhere.
 
-    Symptom: a task counts as lost, or starts twice when the old connection wakes. Sequence: a
-    kept connection goes silent between two jobs; the next start goes into it. Cause: bytes
-    may have left, so the start can't be repeated before the worker has refused it for good.
+    A kept-alive connection goes silent between two jobs, and the next start is sent on it. The
+    bytes may still reach the worker, so the start may be repeated only after the worker has
+    fenced the id. Otherwise the task counts as lost, or starts twice when the connection
+    recovers.
     """
     await cluster.open(domains=ONE_ENTRY)
     entry = cluster.entry_by_vm["entry-0"]
@@ -59,10 +60,10 @@
 
 
 async def test_stream_broken_after_the_start(cluster: Cluster):
-    """A broken stream is followed on another connection and the task is not started anew.
+    """After a broken stream the tasks are watched on another connection, not started again.
 
-    Symptom: a double start, or an outcome unknown that could be known. Sequence: the worker
-    accepts a batch and the connection breaks. Cause: bytes have left and the task runs.
+    The worker accepts a batch, then the connection breaks while the tasks run. Starting them
+    again would run them twice; giving up would report an unknown outcome that can be known.
     """
     await cluster.open(domains=ONE_WORKER)
     await cluster.control(cluster.worker_by_vm["worker-0"], break_after_start=2)
@@ -75,10 +76,10 @@
 
 
 async def test_truncated_and_crossed_answers(cluster: Cluster):
-    """Every caller gets its own whole answer although workers mix and cut answers.
+    """Every caller gets its own complete answer although workers truncate and mix up answers.
 
-    Symptom: half a page, or another pupil's. Sequence: a worker's answer is cut in the middle
-    of a line, another comes under a foreign task id. Cause: what arrives is taken as it is.
+    One answer of a worker is cut in the middle of a line, another arrives under a foreign task
+    id. An entry that does not check them would return a partial output, or another caller's.
     """
     await cluster.open(domains=ONE_ENTRY)
     for worker in cluster.worker_by_vm.values():
@@ -99,11 +100,10 @@
 
 
 async def test_output_shorter_than_it_says(cluster: Cluster):
-    """An output that lost a part on its way is asked for anew and answered whole.
+    """An output shorter than its stated length is fetched again and returned complete.
 
-    Symptom: a page with its last digit missing is embossed. Sequence: a worker's line arrives
-    whole and well-formed, but a character of the output is gone. Cause: what can be read is
-    taken for complete.
+    A worker's line arrives complete and well-formed, but its output lacks a character. An entry
+    that accepts every output that can be parsed would return it with its last digit missing.
     """
     await cluster.open(domains=ONE_ENTRY)
     for worker in cluster.worker_by_vm.values():
@@ -120,10 +120,10 @@
 
 
 async def test_worker_killed_mid_task(cluster: Cluster):
-    """A job whose worker dies fails at once, and says of which tasks nobody can know.
+    """A job whose worker is killed ends at once with an unknown outcome and no partial output.
 
-    Symptom: the caller waits for the deadline, or a part of a bulletin is answered as whole.
-    Sequence: a worker is killed while it runs half of a job. Cause: its tasks may have run.
+    A worker is killed while it runs half of a job. Its tasks may have run, so their outcome is
+    unknown. The caller must neither wait until the deadline nor get a partial result as complete.
     """
     await cluster.open(domains=ONE_ENTRY)
     entry = cluster.entry_by_vm["entry-0"]
@@ -142,11 +142,11 @@
 
 
 async def test_worker_restarted_at_its_address(cluster: Cluster):
-    """A worker that restarts does not pass off what its earlier run started as never seen.
+    """Tasks started by a worker's earlier run are not taken for never started after its restart.
 
-    Symptom: a page is embossed twice. Sequence: a worker starts tasks, dies, and is back at the
-    same address before the entry asks what became of them; it has never seen their ids. Cause:
-    what was never seen by this run counts as never started.
+    A worker starts tasks, is killed, and another run of it takes its address before the entry
+    watches the tasks. The new run has never seen their ids; if its answer counted as a fence,
+    the tasks would be started twice.
     """
     await cluster.open(domains=ONE_WORKER)
     entry, worker = cluster.entry_by_vm["entry-0"], cluster.worker_by_vm["worker-0"]
@@ -154,20 +154,20 @@
     sending = asyncio.ensure_future(cluster.submit(entry, submission))
     await cluster.wait_started(8)
 
-    again = await cluster._start("worker-again", "-m", "zincwell.standins", "worker")
-    worker.relay.aim(again.fields["url"])
+    restarted = await cluster._start("worker-restarted", "-m", "zincwell.standins", "worker")
+    worker.relay.aim(restarted.fields["url"])
     await worker.kill()
     _, answer = await sending
 
     assert_that(answer["outcome"], Equals("outcome_unknown"))
-    assert_that(await cluster.get(again.fields["url"] + "/ledger"), Equals([]))
+    assert_that(await cluster.get(restarted.fields["url"] + "/ledger"), Equals([]))
 
 
 async def test_task_failure_ends_the_job_at_once(cluster: Cluster):
-    """A failed task fails its job at once: queued siblings never run, running ones stop.
+    """A failed task fails its job at once: queued tasks of the job never run, running ones stop.
 
-    Symptom: paper is embossed for a page that can't be completed. Sequence: one task of a
-    job fails early, the others are queued or running. Cause: nobody tells them.
+    One task of a job fails early while the others are queued or running. Unless they are stopped,
+    workers go on with a job that can't be completed.
     """
     await cluster.open(domains=ONE_WORKER)
     entry = cluster.entry_by_vm["entry-0"]
@@ -186,11 +186,11 @@
 
 
 async def test_entry_paused_past_its_worker_leases(cluster: Cluster):
-    """An entry that wakes from a long pause starts nothing under its lapsed leases.
+    """An entry that resumes after a long pause starts nothing under expired leases.
 
-    Symptom: a worker runs tasks for an entry that it has given up on. Sequence: tasks are
-    queued; the entry is stopped until its leases have lapsed, and continued. Cause: a paused
-    process does not notice that time has passed and sends what it had ready.
+    The entry's process is stopped with tasks queued, and resumes after its leases have expired.
+    Unless it checks the time right before sending, it sends the starts that it had prepared to
+    workers that no longer hold slots for it.
     """
     cluster.timing = {"worker_lease_s": 1.0}
     await cluster.open(domains=ONE_WORKER)
@@ -212,10 +212,10 @@
 
 
 async def test_leaving_worker_gets_nothing_new(cluster: Cluster):
-    """A worker that is listed as leaving gets nothing new, and what it runs completes.
+    """A worker that is listed as leaving gets no new tasks, and its running tasks complete.
 
-    Symptom: tasks are cut when the VM goes. Sequence: the list of VMs marks a worker as
-    leaving under load. Cause: the entry goes on placing tasks there.
+    The list of VMs marks a worker as leaving under load. If the entry went on placing tasks
+    there, they would be aborted when the VM is removed.
     """
     await cluster.open(domains=ONE_ENTRY)
     entry = cluster.entry_by_vm["entry-0"]
@@ -235,12 +235,12 @@
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
 
 
-async def test_worker_that_fails_everything_does_not_swallow_the_queue(cluster: Cluster):
-    """A worker that fails all it starts is ejected before it has failed many requests.
+async def test_worker_that_fails_every_task_does_not_get_the_whole_queue(cluster: Cluster):
+    """A worker on which every task fails is ejected before it has failed many requests.
 
-    Symptom: nearly all requests fail although one worker of four is bad. Sequence: it fails
-    each task at once, so it always has most room and is chosen next. Cause: a fast failure
-    looks like a fast worker.
+    It fails each task at once, so it always has the most free slots and is chosen next: a fast
+    failure looks like a fast worker. Nearly all requests would fail although only one worker of
+    four is faulty.
     """
     await cluster.open(domains={"kariakoo": (1, 4)})
     entry = cluster.entry_by_vm["entry-0"]
@@ -273,11 +273,10 @@
 
 
 async def test_cancel_reaches_a_worker_that_left_the_list(cluster: Cluster):
-    """A cancel stops tasks on a worker that has gone from the list of VMs meanwhile.
+    """A cancellation stops tasks on a worker that is no longer in the list of VMs.
 
-    Symptom: paper is embossed for a job that was cancelled. Sequence: tasks run on a worker;
-    it disappears from the list; the caller cancels. Cause: stops look for workers among those
-    that get new work.
+    Tasks run on a worker, the worker disappears from the list, and the caller cancels the job.
+    If stops were sent only to workers that get new tasks, the cancelled tasks would go on.
     """
     await cluster.open(domains=ONE_ENTRY)
     entry, worker = cluster.entry_by_vm["entry-0"], cluster.worker_by_vm["worker-0"]
--- a/zincwell/core/__init__.py
+++ b/zincwell/core/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher itself: ownership of keys, queues, placement, limits, configuration."""
+"""The dispatcher: ownership of keys, queues, placement, limits and configuration."""
--- a/zincwell/core/_configuration.py
+++ b/zincwell/core/_configuration.py
@@ -1,9 +1,9 @@
-"""The configuration in force, folded from operators' changes on the log.
+"""The configuration in force, computed from the operators' changes in the log.
 
-What goes wrong without it: two operators publish from the same version, half of the entries
-take one document and half the other; or a lost answer makes an operator publish again, and
-a change made in between is undone. Every entry folds the same records by the same rule: a
-change whose base is not the version in force is rejected, and so is one already seen.
+Every entry applies the same records by the same rule: a change is rejected if its base is not
+the version in force, and ignored if its id was seen before. This keeps all entries on the same
+document when two operators publish from the same version, and a change that is published again
+after a lost answer does not undo a change made in between.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from zincwell.ports import Record
 
 STREAM = "config"
-KEPT_VERDICTS = 100
+MAX_VERDICTS = 100
 
 log = logging.getLogger("zincwell.configuration")
 
@@ -30,9 +30,10 @@
 class Change(Struct, frozen=True, kw_only=True, tag_field="kind", tag="change"):
     """A change that an operator publishes.
 
-    :param id: chosen by the publisher; a second record with the same id changes nothing.
-    :param base: version that it was made from; -1 for the first.
-    :param patch: values to set by merging (RFC 7396): null removes a name.
+    :param id: chosen by the publisher; a second record with the same id is ignored.
+    :param base: version that the change is based on; -1 for the first.
+    :param patch: JSON merge patch (RFC 7396); null removes a name.
+    :param by: name of the operator.
     """
 
     id: str
@@ -43,10 +44,10 @@
 
 
 class Verdict(Struct, frozen=True, kw_only=True):
-    """What became of a change; the same on every entry.
+    """Whether a change was accepted; the same on every entry.
 
-    :param version: version that it made, if accepted.
-    :param patch: what it changed, if accepted.
+    :param version: version that the change created, if accepted.
+    :param patch: the merge patch of the change, if accepted.
     """
 
     id: str
@@ -61,7 +62,8 @@
 class Configuration(Fold):
     """The document in force.
 
-    :ivar version: offset of the change that made it; -1 before the first.
+    :ivar version: offset of the change that created the document; -1 before the first change.
+    :ivar on_change: called with each new document.
     """
 
     stream = STREAM
@@ -81,21 +83,23 @@
             log.warning("config_record_malformed", extra={"offset": record.offset, "error": error})
             return
         if change.id not in self.verdict_by_id:
-            self._judge(change, record.offset)
+            self._evaluate(change, record.offset)
 
-    def _judge(self, change: Change, offset: int) -> None:
+    def _evaluate(self, change: Change, offset: int) -> None:
         if change.base != self.version:
             reason = f"base {change.base} is not the version in force, {self.version}"
-            self._note(Verdict(id=change.id, accepted=False, reason=reason, by=change.by))
+            self._record_verdict(Verdict(id=change.id, accepted=False, reason=reason, by=change.by))
             return
         merged = merge_patch(self.value, change.patch)
         try:
             document = parse_document(merged)
         except DocumentError as error:
-            self._note(Verdict(id=change.id, accepted=False, reason=str(error), by=change.by))
+            self._record_verdict(
+                Verdict(id=change.id, accepted=False, reason=str(error), by=change.by)
+            )
             return
         self.version, self.value, self.document = offset, merged, document
-        self._note(
+        self._record_verdict(
             Verdict(
                 id=change.id,
                 accepted=True,
@@ -105,16 +109,16 @@
                 patch=change.patch,
             )
         )
-        self._tell()
+        self._notify_listeners()
 
     def changes_since(self, version: int) -> list[Verdict]:
-        """Return the changes accepted after a version, as far as they are remembered."""
+        """Return the accepted changes after a version that are among the last ``MAX_VERDICTS``."""
         verdicts = self.verdict_by_id.values()
-        return [one for one in verdicts if one.accepted and one.version > version]
+        return [verdict for verdict in verdicts if verdict.accepted and verdict.version > version]
 
-    def _note(self, verdict: Verdict) -> None:
+    def _record_verdict(self, verdict: Verdict) -> None:
         self.verdict_by_id[verdict.id] = verdict
-        while len(self.verdict_by_id) > KEPT_VERDICTS:
+        while len(self.verdict_by_id) > MAX_VERDICTS:
             self.verdict_by_id.popitem(last=False)
         log.info(
             "config_verdict",
@@ -133,16 +137,16 @@
         self.document = parse_document(self.value) if self.version >= 0 else None
         self.verdict_by_id = OrderedDict((verdict.id, verdict) for verdict in verdicts)
         if self.document is not None:
-            self._tell()
+            self._notify_listeners()
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the document, its version and the late verdicts."""
+        """Return the document, its version and the latest verdicts."""
         verdicts = msgspec.to_builtins(list(self.verdict_by_id.values()))
         return {"version": self.version, "value": self.value, "verdicts": verdicts}
 
-    def _tell(self) -> None:
-        for call in self.on_change:
-            call(self.document)
+    def _notify_listeners(self) -> None:
+        for callback in self.on_change:
+            callback(self.document)
 
 
 def merge_patch(value: Any, patch: Any) -> Any:
--- a/zincwell/core/_directory.py
+++ b/zincwell/core/_directory.py
@@ -1,4 +1,4 @@
-"""Follow the platform's list of VMs, which lags and is sometimes wrong."""
+"""Poll the platform's list of VMs, which can be stale or incomplete."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 from zincwell.exceptions import DirectoryUnavailableError
 from zincwell.ports import Vm, VmDirectory
 
-SHRUNKEN_SHARE = 0.5
+MIN_PLAUSIBLE_FRACTION = 0.5
 
 log = logging.getLogger("zincwell.directory")
 
 
 class DirectoryWatcher:
-    """Reads the list of VMs and hands on what can be believed of it.
+    """Polls the list of VMs and reports the workers of one domain.
 
-    A list that has lost half of the workers at once is more likely wrong than true: workers
-    that it leaves out are kept as long as they answer. An outage keeps the last list.
+    A list that lacks more than half of the known workers at once is more likely wrong than
+    right, so missing workers are kept as long as they grant leases. During an outage of the
+    directory the last list stays in use.
 
-    :param domain: the failure domain whose workers are handed on.
+    :param domain: the failure domain whose workers are reported.
+    :param poll_s: pause between two reads in seconds.
     :param answers: returns whether a worker still grants leases.
     :param on_workers: called with the workers of the domain.
     """
@@ -43,7 +45,7 @@
         self.entry_urls: list[str] = []
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Poll the list until cancelled."""
         while True:
             try:
                 self.take(await self._directory.list_vms())
@@ -52,16 +54,17 @@
             await asyncio.sleep(self._poll_s)
 
     def take(self, vms: list[Vm]) -> None:
-        """Take a list that was read."""
+        """Process a list and report the workers."""
         entries = [vm.url for vm in vms if vm.role == "entry"]
         self.entry_urls = entries or self.entry_urls
         listed = {vm.vm: vm for vm in vms if vm.role == "worker" and vm.domain == self._domain}
-        if len(listed) < SHRUNKEN_SHARE * len(self._worker_by_vm):
-            listed = self._distrust(listed)
+        if len(listed) < MIN_PLAUSIBLE_FRACTION * len(self._worker_by_vm):
+            listed = self._merge_responding_workers(listed)
         self._worker_by_vm = listed
         self._on_workers(list(listed.values()))
 
-    def _distrust(self, listed: dict[str, Vm]) -> dict[str, Vm]:
+    def _merge_responding_workers(self, listed: dict[str, Vm]) -> dict[str, Vm]:
+        """Add the known workers that the list lacks but that still grant leases."""
         missing = [vm for name, vm in self._worker_by_vm.items() if name not in listed]
         kept = {vm.vm: vm for vm in missing if self._answers(vm.vm)}
         log.warning(
--- a/zincwell/core/_follow.py
+++ b/zincwell/core/_follow.py
@@ -1,7 +1,7 @@
 """Follow a stream of the log and fold its records into a state.
 
-Every reader folds the same records in the same order, so all come to the same state without
-talking to each other.
+Every reader folds the same records in the same order, so all readers reach the same state
+without exchanging messages.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from zincwell.exceptions import LogUnavailableError, RecordsExpiredError
 from zincwell.ports import Clock, LogService, Record
 
-RETRY_S = 0.2
+RETRY_DELAY_S = 0.2
 NEVER = float("-inf")
 
 log = logging.getLogger("zincwell.follow")
@@ -24,8 +24,8 @@
 class Fold(abc.ABC):
     """State folded from one stream.
 
-    :ivar next_offset: offset of the record to be read next; only ever grows.
-    :ivar snapshot_offset: offset of the latest snapshot record seen.
+    :ivar next_offset: offset of the next record to read; never decreases.
+    :ivar snapshot_offset: offset of the latest snapshot record read.
     """
 
     stream: str
@@ -36,7 +36,7 @@
         self._changed = asyncio.Event()
 
     def take(self, record: Record) -> None:
-        """Fold one record, unless it was folded before."""
+        """Fold one record; a record that was folded before is ignored."""
         if record.offset < self.next_offset:
             return
         if record.value.get("kind") == "snapshot":
@@ -47,9 +47,9 @@
         self._tell_changed()
 
     def adopt(self, *, next_offset: int, snapshot: dict[str, Any]) -> bool:
-        """Take over a later state from a peer or a snapshot record.
+        """Replace the state by a later one from a peer or a snapshot record.
 
-        :returns: whether it was later than ours.
+        :returns: whether the state given was later than this one.
         """
         if next_offset <= self.next_offset:
             return False
@@ -69,11 +69,11 @@
 
     @abc.abstractmethod
     def _apply(self, record: Record) -> None:
-        """Fold one record that is no snapshot."""
+        """Fold one record that is not a snapshot."""
 
     @abc.abstractmethod
     def _load(self, snapshot: dict[str, Any]) -> None:
-        """Replace the state."""
+        """Replace the state by that of a snapshot."""
 
     @abc.abstractmethod
     def snapshot(self) -> dict[str, Any]:
@@ -81,9 +81,10 @@
 
 
 class Follower:
-    """Keeps a fold up to date.
+    """Keeps a fold up to date with its stream.
 
     :param wait_s: returns how long one read may wait for a record, in seconds.
+    :ivar contact_at: monotonic time of the latest read that the log answered.
     """
 
     def __init__(
@@ -96,35 +97,36 @@
         self._wait_s = wait_s
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Read the stream until cancelled."""
         while True:
             try:
                 await self.read_once()
             except LogUnavailableError as error:
                 log.info("log_unavailable", extra={"stream": self.fold.stream, "error": error})
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def read_once(self) -> None:
-        """Read and fold what is new.
+        """Read and fold new records.
 
-        :raises LogUnavailableError: if the log does not answer.
+        :raises LogUnavailableError: if the log does not answer, or has dropped records of which
+            it has no snapshot.
         """
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         try:
             records = await self._log_service.read(
                 stream=self.fold.stream, start=self.fold.next_offset, wait_s=self._wait_s()
             )
         except RecordsExpiredError as expired:
-            await self._restart(expired.first)
+            await self._restart_from_snapshot(expired.first)
             return
         for record in records:
             self.fold.take(record)
-        # The time of asking, not of the answer: the answer may have been long on its way,
-        # and a lease counted from its arrival would outlive what the log knew.
-        self.contact_at = asked_at
+        # The time of the request is used: an answer may have been delayed, and a lease counted
+        # from its arrival would outlast the state of the log that the answer describes.
+        self.contact_at = requested_at
 
-    async def _restart(self, first: int) -> None:
-        """Start anew at the oldest snapshot kept: the records in between are gone for good."""
+    async def _restart_from_snapshot(self, first: int) -> None:
+        """Continue from the oldest retained snapshot, since the log has dropped earlier records."""
         records = await self._log_service.read(stream=self.fold.stream, start=first, wait_s=0)
         for record in records:
             value = record.value
@@ -132,4 +134,6 @@
                 self.fold.adopt(next_offset=value["through"], snapshot=value["state"])
                 return
         log.warning("no_snapshot", extra={"stream": self.fold.stream, "first": first})
-        raise LogUnavailableError(f"{self.fold.stream}: no snapshot among the records kept")
+        raise LogUnavailableError(
+            f"{self.fold.stream}: no snapshot among the retained records of the stream"
+        )
--- a/zincwell/core/_guests.py
+++ b/zincwell/core/_guests.py
@@ -1,15 +1,15 @@
-"""Guests: tasks that this entry runs on its domain's workers for entries of other domains.
+"""Spilled tasks: tasks that this entry runs on its domain's workers for entries of other domains.
 
-To their owner we look like one more worker: it takes a lease, starts tasks, watches and stops
-them, and every proof that it has of a worker holds of us. What we answer is as binding:
+To the owner of a spilled task this entry acts as one more worker: the owner takes a lease,
+starts tasks, watches and stops them. The guarantees of the worker protocol therefore hold here:
 
-* an id is accepted once, and one that we have fenced or refused is never run;
-* ``refused`` and ``fenced`` are only said of a task that no worker of ours has started;
-* of a task whose worker we lost we say ``lost``, which proves nothing.
+* a task id is accepted once, and an id that was fenced or refused is never run;
+* ``refused`` and ``fenced`` are only reported for a task that no local worker has started;
+* a task whose worker was lost is reported as ``lost``, which leaves its outcome open.
 
-An id is remembered for longer than any job's deadline, after which its owner acts upon no
-answer. Forgotten earlier, it would be fenced as never seen although it has run: one would
-notice two starts of one task in the ledgers of two domains. See docs/design/spill.md.
+A task id is retained for longer than the longest job deadline, after which the owner acts on no
+answer. If an id were dropped earlier, a task that has run would be fenced as never seen, and its
+owner would start it a second time in its own domain. See docs/design/spill.md.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 from zincwell.ports import Clock, EventKind, Start, WorkerEvent, WorkerLease
 from zincwell.settings import TimingSettings
 
-LONGEST_LEASE_S = 1.0
-HEADROOM_PARTS = 4
-GUEST_WAIT_S = 0.1
-MOST_WAITING = 4
-CALM_S = 1.0
-BEAT_S = 0.3
-MAX_REMEMBERED = 50_000
+MAX_LEASE_S = 1.0
+HEADROOM_DIVISOR = 4  # one slot in 4 is not granted
+MAX_SLOT_WAIT_S = 0.1
+MAX_WAITING_TASKS = 4
+MIN_TIME_WITHOUT_BACKLOG_S = 1.0
+HEARTBEAT_INTERVAL_S = 0.3
+MAX_KNOWN_IDS = 50_000
 MAX_OUTPUT_BYTES = 16 * 1024 * 1024
-OUTPUT_KEPT_S = 10.0
-DRAIN_POLL_S = 0.02
+OUTPUT_RETENTION_S = 10.0
+DRAIN_POLL_INTERVAL_S = 0.02
 KIND_BY_OUTCOME = {
     Outcome.COMPLETED: EventKind.COMPLETED,
     Outcome.FAILED: EventKind.FAILED,
@@ -49,11 +49,14 @@
 
 
 @dataclass(kw_only=True, eq=False)
-class Guest:
-    """One id that we have accepted, or fenced.
-
-    :ivar job: the job that runs it here; None once it is final.
-    :ivar streams: queues of the streams that wait for its events.
+class SpilledTask:
+    """A task id that this entry has accepted or fenced.
+
+    :ivar entry: the entry that owns the task.
+    :ivar job: the local job that runs the task; None once its result is final.
+    :ivar final: the last event of the task; None while it is queued or running.
+    :ivar final_at: monotonic time of the last event.
+    :ivar streams: queues of the open streams that receive its events.
     """
 
     id: str
@@ -65,8 +68,8 @@
     final_at: float = 0.0
     streams: list[asyncio.Queue[WorkerEvent]] = field(default_factory=list)
 
-    def tell(self, kind: EventKind) -> None:
-        """Tell all streams that something has happened to it."""
+    def notify_streams(self, kind: EventKind) -> None:
+        """Send an event to all open streams of this task; the final one if there is one."""
         event = self.final or WorkerEvent(kind=kind, id=self.id)
         for stream in self.streams:
             stream.put_nowait(event)
@@ -74,19 +77,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Grant:
-    """Slots promised to an entry of another domain for a short time."""
+    """Slots promised to an entry of another domain until a monotonic time."""
 
     entry: str
     pool: str
     slots: int
-    until: float
+    expires_at: float
 
 
 class Guests:
-    """Runs tasks of other domains' entries.
+    """Runs tasks of entries of other domains.
 
-    :param is_draining: returns whether this entry is leaving.
-    :param observe_waste: called with the kind of each wasted message.
+    :param is_draining: returns whether this entry is shutting down.
+    :param observe_waste: called with the kind of each message that moved no task forward.
     """
 
     def __init__(
@@ -102,126 +105,143 @@
         self._clock = clock
         self._is_draining = is_draining
         self._observe_waste = observe_waste
-        self._remember_s = max(timing.resubmission_window_s, MAX_DEADLINE_MS / 1000)
-        self._remember_s += timing.lost_grace_s
-        self._guest_by_id: dict[str, Guest] = {}
+        self._id_retention_s = max(timing.resubmission_window_s, MAX_DEADLINE_MS / 1000)
+        self._id_retention_s += timing.lost_grace_s
+        self._spilled_by_id: dict[str, SpilledTask] = {}
         self._grant_by_lease: dict[str, Grant] = {}
         self._running_by_owner: dict[tuple[str, str], int] = {}
-        self._with_output: deque[Guest] = deque()
+        self._tasks_with_output: deque[SpilledTask] = deque()
         self._output_bytes = 0
         self._open_streams = 0
 
     # -- the worker protocol -------------------------------------------------------------
 
     def lease(self, *, pool: str, entry: str, ttl_s: float) -> WorkerLease:
-        """Promise an entry the slots that are idle now."""
+        """Grant a lease on the slots that are idle now, for at most ``MAX_LEASE_S`` seconds."""
         now = self._clock.monotonic()
-        ttl_s = min(ttl_s, LONGEST_LEASE_S)
-        slots = self._slots_for(pool, entry)
+        ttl_s = min(ttl_s, MAX_LEASE_S)
+        slots = self._count_grantable_slots(pool, entry)
         if slots == 0:
             self._observe_waste("spill_empty_lease")
         lease = uuid.uuid4().hex
-        self._grant_by_lease[lease] = Grant(entry=entry, pool=pool, slots=slots, until=now + ttl_s)
+        self._grant_by_lease[lease] = Grant(
+            entry=entry, pool=pool, slots=slots, expires_at=now + ttl_s
+        )
         return WorkerLease(lease=lease, ttl_s=ttl_s, slots=slots, leaving=self._is_draining())
 
     async def start(
         self, *, pool: str, entry: str, lease: str, tasks: list[Start]
     ) -> AsyncIterator[WorkerEvent]:
-        """Take tasks in and yield what becomes of them until each is final."""
+        """Start tasks and yield their events until each has a final one."""
         refused, accepted = [], []
         for task in tasks:
-            reason = self._reason_to_refuse(pool, entry, lease, task)
+            reason = self._find_refusal_reason(pool, entry, lease, task)
             if reason:
                 self._observe_waste("spill_refused")
                 event = WorkerEvent(kind=EventKind.REFUSED, id=task.id, reason=reason)
                 refused.append(event)
             else:
-                accepted.append(self._take_in(pool, entry, task))
-        async for event in self._follow(accepted, said=refused):
+                accepted.append(self._accept(pool, entry, task))
+        async for event in self._follow(accepted, initial_events=refused):
             yield event
 
     async def watch(self, *, ids: list[str], fence: bool) -> AsyncIterator[WorkerEvent]:
-        """Yield what becomes of tasks; ids never seen are fenced, or end the stream."""
+        """Yield the events of tasks until each has a final one.
+
+        :param fence: whether to fence unknown ids; an id that is not fenced ends the stream.
+        """
         self._observe_waste("spill_watch")
-        guests = []
+        spilled_tasks = []
         for task_id in ids:
-            guest = self._guest_by_id.get(task_id)
-            if guest is None and fence:
-                guest = self._fence(task_id)
-            if guest is None:
+            spilled = self._spilled_by_id.get(task_id)
+            if spilled is None and fence:
+                spilled = self._fence(task_id)
+            if spilled is None:
                 return
-            guests.append(guest)
-        said = [_running(guest.id) for guest in guests if guest.is_started or guest.job]
-        finals = [guest.final for guest in guests if guest.final is not None]
-        open_guests = [guest for guest in guests if guest.final is None]
-        async for event in self._follow(open_guests, said=said + finals):
+            spilled_tasks.append(spilled)
+        initial_events = [
+            _make_running_event(spilled.id)
+            for spilled in spilled_tasks
+            if spilled.is_started or spilled.job
+        ]
+        finals = [spilled.final for spilled in spilled_tasks if spilled.final is not None]
+        open_tasks = [spilled for spilled in spilled_tasks if spilled.final is None]
+        async for event in self._follow(open_tasks, initial_events=initial_events + finals):
             yield event
 
     def stop(self, *, ids: list[str]) -> list[WorkerEvent]:
-        """Stop tasks; an id never seen is fenced."""
+        """Stop tasks and return the state of each; an unknown id is fenced."""
         events = []
         for task_id in ids:
-            guest = self._guest_by_id.get(task_id) or self._fence(task_id)
-            if guest is None:
+            spilled = self._spilled_by_id.get(task_id) or self._fence(task_id)
+            if spilled is None:
                 continue
-            if guest.job is not None:
-                self._dispatcher.give_up(guest.job, "stopped")
+            if spilled.job is not None:
+                self._dispatcher.give_up(spilled.job, "stopped")
             else:
                 self._observe_waste("spill_stop_of_finished")
-            events.append(guest.final or _running(task_id))
+            events.append(spilled.final or _make_running_event(task_id))
         return events
 
-    # -- life ----------------------------------------------------------------------------
+    # -- lifecycle -----------------------------------------------------------------------
 
     async def drain(self) -> None:
-        """Wait until no guest runs and every open stream has told its end."""
+        """Wait until no spilled task runs and every open stream has ended."""
         while self._running_by_owner or self._open_streams:
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def forget_old(self) -> None:
-        """Drop what no owner can act upon any more."""
+        """Drop expired outputs, and ids old enough that no owner acts on an answer about them."""
         now = self._clock.monotonic()
-        while self._with_output and self._with_output[0].final_at < now - OUTPUT_KEPT_S:
+        while (
+            self._tasks_with_output
+            and self._tasks_with_output[0].final_at < now - OUTPUT_RETENTION_S
+        ):
             self._drop_oldest_output()
-        for guest in list(self._guest_by_id.values()):
-            if guest.final is None:
+        for spilled in list(self._spilled_by_id.values()):
+            if spilled.final is None:
                 continue
-            if guest.final_at > now - self._remember_s:
+            if spilled.final_at > now - self._id_retention_s:
                 break
-            del self._guest_by_id[guest.id]
+            del self._spilled_by_id[spilled.id]
 
-    # -- taking in -----------------------------------------------------------------------
+    # -- admission -----------------------------------------------------------------------
 
-    def _slots_for(self, pool_name: str, entry: str) -> int:
-        """Return the slots for an entry's guests, those that it uses now included."""
+    def _count_grantable_slots(self, pool_name: str, entry: str) -> int:
+        """Return the number of slots to grant an entry, including those that it uses now."""
         running = self._running_by_owner.get((pool_name, entry), 0)
         pool = self._dispatcher.pool_by_name.get(pool_name)
         if pool is None or not pool.rules.spill or self._is_draining() or pool.queue.size:
             return running
-        # Slots idle between two waves of our own work would be gone when the guests arrive,
-        # and each be a refused start.
-        if self._clock.monotonic() - pool.own_waited_at < CALM_S:
+        # Slots that are idle only between two bursts of local tasks are taken again before
+        # spilled tasks arrive, and each of those starts would be refused.
+        if self._clock.monotonic() - pool.own_waited_at < MIN_TIME_WITHOUT_BACKLOG_S:
             return running
-        idle = pool.room() - pool.capacity() // HEADROOM_PARTS - self._promised(pool_name, entry)
+        idle = (
+            pool.room()
+            - pool.capacity() // HEADROOM_DIVISOR
+            - self._count_promised_slots(pool_name, entry)
+        )
         return running + max(0, idle)
 
-    def _promised(self, pool: str, entry: str) -> int:
-        """Return the slots promised to other entries that they do not use yet."""
+    def _count_promised_slots(self, pool: str, entry: str) -> int:
+        """Return the number of slots promised to other entries and not in use yet."""
         now = self._clock.monotonic()
-        grants = {lease: g for lease, g in self._grant_by_lease.items() if g.until > now}
+        grants = {lease: g for lease, g in self._grant_by_lease.items() if g.expires_at > now}
         self._grant_by_lease = grants
         latest = {g.entry: g for g in grants.values() if g.pool == pool and g.entry != entry}
         unused = (g.slots - self._running_by_owner.get((pool, g.entry), 0) for g in latest.values())
         return sum(max(0, slots) for slots in unused)
 
-    def _reason_to_refuse(self, pool_name: str, entry: str, lease: str, task: Start) -> str:
+    def _find_refusal_reason(self, pool_name: str, entry: str, lease: str, task: Start) -> str:
+        """Return the reason to refuse a start, or an empty string."""
         grant = self._grant_by_lease.get(lease)
         pool = self._dispatcher.pool_by_name.get(pool_name)
-        if task.id in self._guest_by_id:
+        if task.id in self._spilled_by_id:
             return "seen"
-        # After a pause of this process the start may have lain in a socket for long, and its
-        # owner have given it up; its lease has lapsed by then.
-        if grant is None or grant.pool != pool_name or grant.until <= self._clock.monotonic():
+        # If this process was paused, the start may have waited in the socket buffer until its
+        # owner stopped waiting for it. Its lease has expired by then.
+        if grant is None or grant.pool != pool_name or grant.expires_at <= self._clock.monotonic():
             return "lease"
         if self._is_draining():
             return "leaving"
@@ -232,14 +252,15 @@
         return "full" if self._is_full(pool) else ""
 
     def _is_full(self, pool: Pool) -> bool:
-        guests = pool.queue.size_by_tenant.get(GUEST_TENANT, 0)
-        own = pool.queue.size - guests
-        # A few may wait for a moment: a refusal costs a message, and slots lent within the
-        # domain come back by the next heartbeat.
-        is_short = pool.room() <= guests and guests >= MOST_WAITING
-        return own > 0 or is_short or len(self._guest_by_id) >= MAX_REMEMBERED
-
-    def _take_in(self, pool: str, entry: str, start: Start) -> Guest:
+        """Tell whether a pool admits no further spilled task."""
+        queued_spilled = pool.queue.size_by_tenant.get(GUEST_TENANT, 0)
+        queued_own = pool.queue.size - queued_spilled
+        # A few tasks may wait briefly: a refusal costs a message, and slots that were lent
+        # within the domain are returned by the next heartbeat.
+        is_short = pool.room() <= queued_spilled and queued_spilled >= MAX_WAITING_TASKS
+        return queued_own > 0 or is_short or len(self._spilled_by_id) >= MAX_KNOWN_IDS
+
+    def _accept(self, pool: str, entry: str, start: Start) -> SpilledTask:
         now = self._clock.monotonic()
         job = Job(
             key=start.id,
@@ -252,96 +273,96 @@
             arrived_at=now,
         )
         job.add_tasks([TaskSpec(payload=start.payload, run_ms=start.run_ms)], now=now)
-        guest = Guest(id=start.id, entry=entry, pool=pool, job=job)
-        self._guest_by_id[guest.id] = guest
+        spilled = SpilledTask(id=start.id, entry=entry, pool=pool, job=job)
+        self._spilled_by_id[spilled.id] = spilled
         owner = (pool, entry)
         self._running_by_owner[owner] = self._running_by_owner.get(owner, 0) + 1
-        job.on_accepted = lambda _: self._note_started(guest)
-        job.answer.add_done_callback(lambda answer: self._finish(guest, answer.result()))
+        job.on_accepted = lambda _: self._record_start(spilled)
+        job.answer.add_done_callback(lambda answer: self._finish(spilled, answer.result()))
         self._dispatcher.run(job)
-        self._refuse_later(guest, job.tasks[0])
-        return guest
+        self._schedule_wait_timeout(spilled, job.tasks[0])
+        return spilled
 
-    def _refuse_later(self, guest: Guest, task: Task) -> None:
-        """Refuse a guest that still waits for a slot after a while.
+    def _schedule_wait_timeout(self, spilled: SpilledTask, task: Task) -> None:
+        """Refuse a spilled task that is still queued after ``MAX_SLOT_WAIT_S`` seconds.
 
-        Without this, a guest would wait behind our own burst, while its owner could place it
-        sooner; it has not been started, so the refusal is true.
+        Otherwise it would wait behind a burst of local tasks while its owner could place it
+        sooner elsewhere. It has not been started, so it may be reported as refused.
         """
 
         def check() -> None:
-            if guest.final is not None or guest.is_started:
+            if spilled.final is not None or spilled.is_started:
                 return
             if task.state is TaskState.QUEUED:
                 self._observe_waste("spill_refused")
                 self._dispatcher.give_up(task.job, "full")
             else:
-                asyncio.get_running_loop().call_later(GUEST_WAIT_S, check)
+                asyncio.get_running_loop().call_later(MAX_SLOT_WAIT_S, check)
 
-        asyncio.get_running_loop().call_later(GUEST_WAIT_S, check)
+        asyncio.get_running_loop().call_later(MAX_SLOT_WAIT_S, check)
 
-    def _fence(self, task_id: str) -> Guest | None:
-        """Refuse an id for good, or return None if no more can be remembered."""
-        if len(self._guest_by_id) >= MAX_REMEMBERED:
+    def _fence(self, task_id: str) -> SpilledTask | None:
+        """Fence an id permanently, or return None if the table of ids is full."""
+        if len(self._spilled_by_id) >= MAX_KNOWN_IDS:
             return None
         final = WorkerEvent(kind=EventKind.FENCED, id=task_id, reason="never seen")
-        guest = Guest(id=task_id, final=final, final_at=self._clock.monotonic())
-        self._guest_by_id[task_id] = guest
-        return guest
+        spilled = SpilledTask(id=task_id, final=final, final_at=self._clock.monotonic())
+        self._spilled_by_id[task_id] = spilled
+        return spilled
 
-    # -- what becomes of them ------------------------------------------------------------
+    # -- results -------------------------------------------------------------------------
 
-    def _note_started(self, guest: Guest) -> None:
-        guest.is_started = True
-        guest.tell(EventKind.ACCEPTED)
+    def _record_start(self, spilled: SpilledTask) -> None:
+        spilled.is_started = True
+        spilled.notify_streams(EventKind.ACCEPTED)
 
-    def _finish(self, guest: Guest, answer: Answer) -> None:
+    def _finish(self, spilled: SpilledTask, answer: Answer) -> None:
         task = answer.tasks[0]
         stopped = answer.reason == "stopped" and task.outcome is Outcome.OUTCOME_UNKNOWN
         kind = EventKind.STOPPED if stopped else KIND_BY_OUTCOME[task.outcome]
-        guest.final = WorkerEvent(
+        spilled.final = WorkerEvent(
             kind=kind,
-            id=guest.id,
+            id=spilled.id,
             reason=answer.reason,
             output=task.output,
             length=len(bytes(task.output)) if kind is EventKind.COMPLETED else 0,
         )
-        guest.final_at = self._clock.monotonic()
-        guest.job = None
-        self._count_out(guest)
-        guest.tell(kind)
+        spilled.final_at = self._clock.monotonic()
+        spilled.job = None
+        self._decrement_running(spilled)
+        spilled.notify_streams(kind)
         if kind is EventKind.COMPLETED:
-            self._keep_output(guest)
+            self._retain_output(spilled)
 
-    def _count_out(self, guest: Guest) -> None:
-        owner = (guest.pool, guest.entry)
+    def _decrement_running(self, spilled: SpilledTask) -> None:
+        owner = (spilled.pool, spilled.entry)
         self._running_by_owner[owner] -= 1
         if not self._running_by_owner[owner]:
             del self._running_by_owner[owner]
 
-    def _keep_output(self, guest: Guest) -> None:
-        self._with_output.append(guest)
-        self._output_bytes += guest.final.length
+    def _retain_output(self, spilled: SpilledTask) -> None:
+        self._tasks_with_output.append(spilled)
+        self._output_bytes += spilled.final.length
         while self._output_bytes > MAX_OUTPUT_BYTES:
             self._drop_oldest_output()
 
     def _drop_oldest_output(self) -> None:
-        """Drop an output; that the task has run is still remembered."""
-        guest = self._with_output.popleft()
-        self._output_bytes -= guest.final.length
-        guest.final = WorkerEvent(kind=EventKind.LOST, id=guest.id, reason="answer_dropped")
+        """Drop the oldest output; the id stays known, so the task is not run again."""
+        spilled = self._tasks_with_output.popleft()
+        self._output_bytes -= spilled.final.length
+        spilled.final = WorkerEvent(kind=EventKind.LOST, id=spilled.id, reason="answer_dropped")
 
     async def _follow(
-        self, guests: Iterable[Guest], *, said: list[WorkerEvent]
+        self, spilled_tasks: Iterable[SpilledTask], *, initial_events: list[WorkerEvent]
     ) -> AsyncIterator[WorkerEvent]:
-        """Yield what is to be said at once, then each guest's events until all are final."""
+        """Yield the initial events, then the events of each task until all are final."""
         events: asyncio.Queue[WorkerEvent] = asyncio.Queue()
-        open_by_id = {guest.id: guest for guest in guests}
-        for guest in open_by_id.values():
-            guest.streams.append(events)
+        open_by_id = {spilled.id: spilled for spilled in spilled_tasks}
+        for spilled in open_by_id.values():
+            spilled.streams.append(events)
         self._open_streams += 1
         try:
-            for event in said:
+            for event in initial_events:
                 yield event
             while open_by_id:
                 event = await _next_event(events)
@@ -350,17 +371,20 @@
                     del open_by_id[event.id]
         finally:
             self._open_streams -= 1
-            for guest in open_by_id.values():
-                guest.streams.remove(events)
+            for spilled in open_by_id.values():
+                spilled.streams.remove(events)
 
 
 async def _next_event(events: asyncio.Queue[WorkerEvent]) -> WorkerEvent:
-    """Return the next event, or a beat after a silence, so that the owner knows we live."""
+    """Return the next event, or a heartbeat if none comes within the interval.
+
+    The heartbeat tells the owner that this entry is alive.
+    """
     try:
-        return await asyncio.wait_for(events.get(), BEAT_S)
+        return await asyncio.wait_for(events.get(), HEARTBEAT_INTERVAL_S)
     except TimeoutError:
         return WorkerEvent(kind=EventKind.BEAT)
 
 
-def _running(task_id: str) -> WorkerEvent:
+def _make_running_event(task_id: str) -> WorkerEvent:
     return WorkerEvent(kind=EventKind.RUNNING, id=task_id)
--- a/zincwell/core/_publishing.py
+++ b/zincwell/core/_publishing.py
@@ -1,4 +1,4 @@
-"""Publish a change of the configuration and learn its verdict."""
+"""Publish a change of the configuration and wait for its verdict."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from zincwell.ports import LogService
 
 VERDICT_WAIT_S = 3.0
-APPEND_TRIES = 3
+MAX_APPEND_ATTEMPTS = 3
 
 log = logging.getLogger("zincwell.publishing")
 
 
 class Proposal(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A whole document that an operator wants in force.
+    """A complete document that an operator proposes.
 
-    :param id: chosen by the operator's program; the same again changes nothing.
-    :param base: version that it was made from.
-    :param by: name of the operator, for the record.
+    :param id: chosen by the operator's client; a repetition with the same id has no effect.
+    :param base: version that the document is based on.
+    :param by: name of the operator, recorded with the change.
     """
 
     id: str
@@ -36,9 +36,10 @@
 
 
 class PublishFailure(Struct, frozen=True, kw_only=True):
-    """Why there is no verdict.
+    """The reason why a proposal has no verdict.
 
-    :param is_open: whether the change may still come into force; ask again with its id.
+    :param is_open: whether the change may still come into force; if so, the proposal is to be
+        published again with the same id.
     """
 
     reason: str
@@ -47,7 +48,7 @@
 
 
 class Publisher:
-    """Publishes proposals through the log."""
+    """Publishes proposals by appending changes to the log."""
 
     def __init__(self, *, configuration: Configuration, log_service: LogService):
         self._configuration = configuration
@@ -56,9 +57,9 @@
     async def publish(self, proposal: Proposal) -> Result[Verdict, PublishFailure]:
         """Publish a proposal and return its verdict, which is the same on every entry.
 
-        The answer to an append can be lost after it took effect. So the append is repeated
-        with the same id, of which the first alone counts, and only our own record read back
-        from the log makes it accepted.
+        The answer to an append can be lost after the append took effect. The append is therefore
+        repeated with the same id, of which only the first record counts, and the verdict comes
+        only from a record read back from the log.
         """
         try:
             parse_document(proposal.document)
@@ -67,12 +68,12 @@
         verdict = self._configuration.verdict_by_id.get(proposal.id)
         if verdict is not None:
             return Ok(verdict)
-        if not await self._reach(proposal.base):
+        if not await self._wait_for_version(proposal.base):
             version = self._configuration.version
             detail = f"this entry has read up to version {version}, not {proposal.base}"
             return Err(PublishFailure(reason="entry_behind", detail=detail))
         if proposal.base != self._configuration.version:
-            return Ok(self._lost(proposal))
+            return Ok(self._make_conflict_verdict(proposal))
         change = {
             "kind": "change",
             "id": proposal.id,
@@ -84,7 +85,7 @@
         return await self._append(change)
 
     async def _append(self, change: dict[str, Any]) -> Result[Verdict, PublishFailure]:
-        for _ in range(APPEND_TRIES):
+        for _ in range(MAX_APPEND_ATTEMPTS):
             try:
                 await self._log_service.append(stream=self._configuration.stream, value=change)
             except LogUnavailableError as error:
@@ -95,11 +96,12 @@
         detail = "the log did not answer; ask again with the same id"
         return Err(PublishFailure(reason="log_unavailable", detail=detail, is_open=True))
 
-    async def _reach(self, version: int) -> bool:
-        """Wait until a version has been read here and tell whether it has.
+    async def _wait_for_version(self, version: int) -> bool:
+        """Wait until this entry has read a version; return whether it has.
 
-        An operator's next change can come by an entry that is some milliseconds behind the one
-        that took the last. Without this, it would be told of a lost race with nobody.
+        An operator's next change can reach an entry that is some milliseconds behind the one
+        that accepted the last change. Without the wait, it would be rejected as conflicting
+        although no other operator has changed anything.
         """
 
         async def reached() -> None:
@@ -123,7 +125,8 @@
         except TimeoutError:
             return None
 
-    def _lost(self, proposal: Proposal) -> Verdict:
+    def _make_conflict_verdict(self, proposal: Proposal) -> Verdict:
+        """Return the rejection of a proposal whose base is no longer in force."""
         version = self._configuration.version
         reason = f"base {proposal.base} is not the version in force, {version}"
         return Verdict(id=proposal.id, accepted=False, reason=reason, by=proposal.by)
--- a/zincwell/core/_rooms.py
+++ b/zincwell/core/_rooms.py
@@ -1,4 +1,4 @@
-"""Free slots, with the worker to be chosen next always at hand."""
+"""Free slots of workers, in a heap ordered by preference."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 
 
 class Rooms:
-    """Free slots of workers.
+    """Free slots of workers, taken one by one.
 
-    The worker with most room for its size goes next, a slow one counting as smaller, equal
-    ones in random order. Kept in a heap: looking through all workers for each task costs more
-    than the start itself once a domain has hundreds.
+    The next slot is one of the worker with the largest share of free slots, divided by its
+    slowness; ties are broken at random. A heap is used because a scan of all workers per task
+    costs more than the start itself once a domain has hundreds of workers.
+
+    :param room_by_worker: number of free slots, at least 1.
+    :param source: random numbers that break ties.
     """
 
     def __init__(self, *, room_by_worker: dict[Worker, int], source: random.Random):
--- a/zincwell/core/_snapshots.py
+++ b/zincwell/core/_snapshots.py
@@ -1,7 +1,7 @@
-"""Write folded states to the log as a whole, before it drops the records they came from.
+"""Write snapshots of folded states to the log before it drops the records behind them.
 
-The log keeps records for a limited time. Without this, an entry that starts later than that
-finds a stream whose beginning is gone: one would notice entries that never become ready.
+The log retains records for a limited time. Without snapshots, an entry that starts after the
+first records were dropped could not compute the state, and would never become ready.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from zincwell.exceptions import LogUnavailableError
 from zincwell.ports import Clock, LogService
 
-CHECK_PERIOD_S = 0.5
-MAX_RECORDS_BETWEEN = 500
+CHECK_INTERVAL_S = 0.5
+MAX_RECORDS_BETWEEN_SNAPSHOTS = 500
 
 log = logging.getLogger("zincwell.snapshots")
 
@@ -23,8 +23,10 @@
 class SnapshotWriter:
     """Writes snapshots of folds when they are due.
 
-    :param is_writer: returns whether this entry writes them now; two at once do no harm.
-    :param period_s: longest time between two snapshots; well under the log's retention.
+    :param is_writer: returns whether this entry writes snapshots now; several concurrent writers
+        do no harm.
+    :param period_s: maximum time between two snapshots in seconds; has to be much shorter than
+        the retention time of the log.
     """
 
     def __init__(
@@ -44,15 +46,15 @@
         self._written_at = {fold.stream: clock.monotonic() for fold in folds}
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write snapshots until cancelled."""
         while True:
-            await asyncio.sleep(CHECK_PERIOD_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             for fold in self._folds:
                 if self._is_writer() and self._is_due(fold):
                     await self._write(fold)
 
     def _is_due(self, fold: Fold) -> bool:
-        if fold.next_offset - fold.snapshot_offset > MAX_RECORDS_BETWEEN:
+        if fold.next_offset - fold.snapshot_offset > MAX_RECORDS_BETWEEN_SNAPSHOTS:
             return True
         return self._clock.monotonic() - self._written_at[fold.stream] > self._period_s
 
--- a/zincwell/core/_worker.py
+++ b/zincwell/core/_worker.py
@@ -1,4 +1,4 @@
-"""One worker as this entry sees it: its lease, its slots, and the tasks placed on it."""
+"""A worker as this entry sees it: its lease, its slots and the tasks placed on it."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 from zincwell.settings import TimingSettings
 
 RENEWALS_PER_LEASE = 3
-LEASE_RESERVE_S = 0.2
-ASK_AGAIN_S = 0.2
-SHORTEST_BACKOFF_S = 0.02
-LONGEST_BACKOFF_S = 1.0
+LEASE_SAFETY_MARGIN_S = 0.2
+RETRY_DELAY_S = 0.2
+MIN_BACKOFF_S = 0.02
+MAX_BACKOFF_S = 1.0
 
 log = logging.getLogger("zincwell.worker")
 TaskHandler = Callable[[Task, WorkerEvent], None]
@@ -34,10 +34,11 @@
 class Worker:
     """A worker and the tasks that this entry has placed on it.
 
+    :param entry: name of this entry.
     :param on_event: called with each event of a task.
-    :param on_lost: called with tasks of which the worker can't be asked any more.
-    :param on_unsent: called with tasks that were provably not sent.
-    :param on_change: called when there may be room again.
+    :param on_lost: called with tasks whose outcome the worker can no longer report.
+    :param on_unsent: called with tasks that were provably not sent, and the reason.
+    :param on_change: called when slots may have become free.
     """
 
     def __init__(
@@ -70,44 +71,44 @@
         self._on_change = on_change
         self._lease: WorkerLease | None = None
         self._lease_until = 0.0
-        self._says_leaving = False
-        self._heard_at = 0.0
+        self._reports_leaving = False
+        self._last_event_at = 0.0
         self._streams: set[asyncio.Task] = set()
 
     @property
     def name(self) -> str:
-        """Name of its VM."""
+        """Name of the worker's VM."""
         return self.vm.vm
 
     def is_usable(self) -> bool:
-        """Tell whether a task may be started on it at this moment."""
-        if self._says_leaving or self.vm.state is VmState.LEAVING:
+        """Tell whether a task may be started on the worker now."""
+        if self._reports_leaving or self.vm.state is VmState.LEAVING:
             return False
         return self._lease is not None and self._clock.monotonic() < self._lease_until
 
     def is_backing_off(self) -> bool:
-        """Tell whether it has just refused a start."""
+        """Tell whether the worker is in backoff after refusing a start."""
         return self._clock.monotonic() < self._backing_off_until
 
     @property
     def open_streams(self) -> int:
-        """Number of streams open to it."""
+        """Number of open streams to the worker."""
         return len(self._streams)
 
     @property
     def answers(self) -> bool:
-        """Whether it has granted a lease that still holds."""
+        """Whether the worker has granted a lease that has not expired."""
         return self._lease is not None and self._clock.monotonic() < self._lease_until
 
     async def run(self) -> None:
-        """Keep a lease until cancelled."""
+        """Renew the lease until cancelled."""
         period_s = self._timing.worker_lease_s / RENEWALS_PER_LEASE
         while True:
             ok = await self._renew()
-            await asyncio.sleep(period_s if ok else ASK_AGAIN_S)
+            await asyncio.sleep(period_s if ok else RETRY_DELAY_S)
 
     def place(self, tasks: list[Task]) -> None:
-        """Start tasks on it, all in one message."""
+        """Start tasks on the worker in one message."""
         for task in tasks:
             task.state = TaskState.PLACED
             task.placement += 1
@@ -118,12 +119,12 @@
         stream.add_done_callback(self._streams.discard)
 
     def hold_slot(self, left_s: float) -> None:
-        """Keep the slot of a fast failure for as long as a run usually takes.
+        """Keep the slot of a task that failed fast occupied for the usual run time.
 
-        Otherwise a worker that fails all at once always has most room and draws the whole
-        queue: one would notice one worker's ledger holding nearly all failed tasks.
+        Otherwise a worker on which every task fails at once always has the most free slots, and
+        nearly the whole queue is sent to it and fails there.
 
-        :param left_s: what is left of a usual run in seconds; nothing is kept below 0.
+        :param left_s: rest of the usual run time in seconds; no slot is held if it is 0 or less.
         """
         if left_s <= 0:
             return
@@ -136,7 +137,7 @@
         asyncio.get_running_loop().call_later(left_s, release)
 
     async def stop(self, tasks: list[Task]) -> None:
-        """Stop tasks by one message; what is missed by it ends by itself."""
+        """Stop tasks with one message; if it is lost, the tasks run to their end."""
         ids = [task.id for task in tasks]
         try:
             await self._transport.stop(ids=ids)
@@ -144,13 +145,13 @@
             log.info("stop_lost", extra={"worker": self.name, "error": error})
 
     async def retire(self) -> None:
-        """Release the connections once what runs there has come to its end."""
+        """Close the connections after all streams have ended."""
         while self._streams:
             await asyncio.wait(list(self._streams))
         await self._transport.close()
 
     async def close(self) -> None:
-        """Release the connections at once."""
+        """Close the connections at once."""
         for stream in self._streams:
             stream.cancel()
         await self._transport.close()
@@ -165,15 +166,16 @@
             log.debug("lease_refused", extra={"worker": self.name, "error": error})
             return False
         self._lease = lease
-        # Counted from when we asked: the worker's own count starts later, never earlier.
-        self._lease_until = asked_at + lease.ttl_s - LEASE_RESERVE_S
-        self._says_leaving = lease.leaving
+        # The lease is counted from the time of the request. The worker counts it from a later
+        # time, so it does not expire at the worker before it expires here.
+        self._lease_until = asked_at + lease.ttl_s - LEASE_SAFETY_MARGIN_S
+        self._reports_leaving = lease.leaving
         self.slots = lease.slots
         self._on_change()
         return True
 
     async def _follow(self, tasks: list[Task]) -> None:
-        """Start tasks and see each to its end, on further connections if this one is lost."""
+        """Start tasks and follow each to its end, on new connections if the stream is lost."""
         open_by_id = {task.id: task for task in tasks}
         run = self._lease.run if self._lease is not None else ""
         try:
@@ -190,8 +192,8 @@
             await self._recover(open_by_id, run)
 
     async def _start(self, tasks: list[Task], open_by_id: dict[str, Task]) -> None:
-        # The process may have been paused since these tasks were chosen, and the lease may
-        # have lapsed meanwhile; so it is compared right before sending.
+        # The process may have been paused since these tasks were chosen, and the lease may have
+        # expired meanwhile, so it is checked right before sending.
         if not self.is_usable():
             self._release(open_by_id)
             self._on_unsent(tasks, "lease")
@@ -207,39 +209,39 @@
             for task in tasks
         ]
         events = self._transport.start(entry=self._entry, lease=self._lease.lease, tasks=starts)
-        await self._take(events, open_by_id)
+        await self._handle_events(events, open_by_id)
 
     async def _recover(self, open_by_id: dict[str, Task], run: str) -> None:
-        """Ask on new connections what became of tasks whose stream was lost.
+        """Watch tasks whose stream was lost on new connections.
 
-        The worker fences what it has not seen, so that a start still on its way is refused
-        when it arrives; only then is it true that the task has not run. One that has restarted
-        has not seen what its earlier run started, so it is asked by the name of the run.
+        The worker fences ids that it has not seen, so that a start still in transit is refused
+        when it arrives; only then is it certain that the task has not run. A restarted worker
+        has not seen the tasks that its earlier run started, so the request names the run.
         """
         lost_at = self._clock.monotonic()
         while open_by_id:
             try:
                 events = self._transport.watch(ids=list(open_by_id), fence=True, run=run)
-                await self._take(events, open_by_id)
+                await self._handle_events(events, open_by_id)
                 return
             except WorkerError as error:
                 log.info("watch_lost", extra={"worker": self.name, "error": error})
-            heard_at = max(lost_at, self._heard_at)
-            if self._clock.monotonic() > heard_at + self._timing.lost_grace_s:
+            last_event_at = max(lost_at, self._last_event_at)
+            if self._clock.monotonic() > last_event_at + self._timing.lost_grace_s:
                 self._lease_until = 0.0
                 self._release(open_by_id)
                 self._on_lost(list(open_by_id.values()))
                 return
-            await asyncio.sleep(ASK_AGAIN_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _take(self, events, open_by_id: dict[str, Task]) -> None:
+    async def _handle_events(self, events, open_by_id: dict[str, Task]) -> None:
         async for event in events:
-            self._heard_at = self._clock.monotonic()
+            self._last_event_at = self._clock.monotonic()
             task = open_by_id.get(event.id)
             if task is not None:
-                self._take_one(task, event, open_by_id)
+                self._handle_event(task, event, open_by_id)
 
-    def _take_one(self, task: Task, event: WorkerEvent, open_by_id: dict[str, Task]) -> None:
+    def _handle_event(self, task: Task, event: WorkerEvent, open_by_id: dict[str, Task]) -> None:
         if event.kind is EventKind.ACCEPTED:
             self._refusals = 0
         elif event.kind is EventKind.REFUSED:
@@ -250,17 +252,17 @@
         self._on_event(task, event)
 
     def _back_off(self) -> None:
-        """Send nothing for a while after a refusal, longer each time.
+        """Pause starts after a refusal, exponentially longer with each one.
 
-        A refusal means that our view of its slots is wrong; asked again at once, it would
-        refuse again, one wasted message each time, until the view is put right.
+        A refusal means that this entry's view of the worker's slots is wrong. Until the view is
+        corrected, each further start would be refused and waste a message.
         """
         if self.is_backing_off():
             return
-        pause_s = min(SHORTEST_BACKOFF_S * 2**self._refusals, LONGEST_BACKOFF_S)
+        backoff_s = min(MIN_BACKOFF_S * 2**self._refusals, MAX_BACKOFF_S)
         self._refusals += 1
-        self._backing_off_until = self._clock.monotonic() + pause_s
-        asyncio.get_running_loop().call_later(pause_s, self._on_change)
+        self._backing_off_until = self._clock.monotonic() + backoff_s
+        asyncio.get_running_loop().call_later(backoff_s, self._on_change)
 
     def _release(self, open_by_id: dict[str, Task]) -> None:
         for task_id in open_by_id:
