--- a/proofs/mutations.py
+++ b/proofs/mutations.py
@@ -121,7 +121,7 @@
     _worker(
         "lost-stream-counts-as-unsent",
         "core/_worker.py",
-        "            await self._recover(open_by_id)\n",
+        "            await self._recover(open_by_id, run)\n",
         "            self._release(open_by_id)\n"
         "            self._on_unsent(list(open_by_id.values()), 'lost')\n",
         "test_stream_broken_after_the_start",
@@ -131,7 +131,7 @@
     _worker(
         "lost-stream-counts-as-lost",
         "core/_worker.py",
-        "            await self._recover(open_by_id)\n",
+        "            await self._recover(open_by_id, run)\n",
         "            self._release(open_by_id)\n"
         "            self._on_lost(list(open_by_id.values()))\n",
         "test_stream_broken_after_the_start",
