--- a/proofs/mutations.py
+++ b/proofs/mutations.py
@@ -254,8 +254,8 @@
     _mutation(
         "nothing-handed-over",
         "core/_home.py",
-        "return [key for key in known.values() if _is_home(seat, key.key, seats)]",
-        "return []",
+        "            for key in known.values()\n",
+        "            for key in []\n",
         "tests/test_take_over.py::test_entry_that_joins_knows_what_the_home_before_it_granted",
         "tests/test_faults_ownership.py::test_entry_that_joins_learns_what_was_granted",
     ),
