--- a/proofs/mutations.py
+++ b/proofs/mutations.py
@@ -73,7 +73,7 @@
     _ownership(
         "always-fresh",
         "core/_home.py",
-        "fresh = claim.created_at > home_since + self._timing.clock_margin_s",
+        "fresh = claim.created_at > known_since + self._timing.clock_margin_s",
         "fresh = True",
     ),
     _ownership(
@@ -85,11 +85,14 @@
     _ownership(
         "closing-acknowledged",
         "core/_seat.py",
-        "return self._closing_by_id.get(seat.id) != current.opened",
+        "return self._closing_offset_by_id.get(seat.id) != current.opened",
         "return True",
     ),
     _ownership(
-        "no-wait-after-abrupt-close", "core/_home.py", "ABRUPT_LEASES = 2", "ABRUPT_LEASES = 0"
+        "no-wait-after-abrupt-close",
+        "core/_home.py",
+        "ABRUPT_CLOSE_WAIT_LEASES = 2",
+        "ABRUPT_CLOSE_WAIT_LEASES = 0",
     ),
     _ownership(
         "refusals-forgotten",
@@ -269,7 +272,7 @@
     _mutation(
         "keys-always-fresh",
         "core/_home.py",
-        "fresh = claim.created_at > home_since + self._timing.clock_margin_s",
+        "fresh = claim.created_at > known_since + self._timing.clock_margin_s",
         "fresh = True",
         "tests/test_ownership.py::test_home_killed_with_the_owner_it_was",
         "tests/test_faults_ownership.py::test_home_that_owned_the_key_is_killed",
--- a/zincwell/core/_answers.py
+++ b/zincwell/core/_answers.py
@@ -1,4 +1,4 @@
-"""Answers that an entry makes without running anything, and answers between entries."""
+"""Answers that need no run, and conversion of answers to and from replies between entries."""
 
 from __future__ import annotations
 
@@ -10,34 +10,37 @@
 from zincwell.models import Answer, Outcome
 
 
-def not_run(key: str, reason: str, retry_after_ms: int | None) -> Answer:
-    """Say that a key has provably not run."""
+def not_run_answer(key: str, reason: str, retry_after_ms: int | None) -> Answer:
+    """Return the answer for a key that has certainly not run."""
     return Answer(key=key, outcome=Outcome.NOT_RUN, reason=reason, retry_after_ms=retry_after_ms)
 
 
-def unknown(key: str, reason: str, retry_after_ms: int | None) -> Answer:
-    """Say that nobody can know whether a key has run, now or for good."""
+def unknown_answer(key: str, reason: str, retry_after_ms: int | None) -> Answer:
+    """Return the answer for a key of which it is not known whether it has run.
+
+    :param retry_after_ms: delay before a retry may give the outcome; None if none can.
+    """
     return Answer(
         key=key, outcome=Outcome.OUTCOME_UNKNOWN, reason=reason, retry_after_ms=retry_after_ms
     )
 
 
-def reused(key: str) -> Answer:
-    """Say that a key was sent before with other tasks."""
+def reused_answer(key: str) -> Answer:
+    """Return the answer for a key that was submitted before with other tasks."""
     detail = "the key stands for a different submission - at `$.key`"
     return Answer(key=key, reason="key_reused", detail=detail)
 
 
 def attach_reply_of(job: Job) -> AttachReply:
-    """Return what a peer is told of a job that we own."""
+    """Return the reply to a peer that asks for the answer of a job of this entry."""
     if not job.is_answered:
         return AttachReply(kind=AttachKind.PENDING)
     answer = Raw(msgspec.json.encode(job.answer.result()))
     return AttachReply(kind=AttachKind.ANSWER, answer=answer)
 
 
-def answer_of(reply: AttachReply) -> Answer | None:
-    """Return the answer that an owner gave, or None if it has none yet."""
+def answer_from(reply: AttachReply) -> Answer | None:
+    """Return the answer in an owner's reply, or None if it holds none."""
     if reply.kind is not AttachKind.ANSWER:
         return None
     return msgspec.json.decode(reply.answer, type=Answer)
--- a/zincwell/core/_home.py
+++ b/zincwell/core/_home.py
@@ -1,12 +1,12 @@
-"""The home of keys: grants each key to one owner.
+"""The home (coordinator) of a key: grants the key to exactly one owner.
 
-What goes wrong without it: a school sends a page again to another entry, both entries run it,
-and it is embossed twice. The home of the key, one entry of the key's failure domain, grants
-the key to the first entry that asks; every later one is told the owner.
+Without it, a caller that resends a key to another entry would have its tasks run twice. The
+home of a key is one entry of the key's failure domain. It grants the key to the first entry
+that claims it, and answers every later claim with the owner.
 
-A home keeps nothing on disk. One that has just become home to a key may not know an earlier
-grant. It knows from when its knowledge is complete (``floor``), and a key created before that
-is not granted: its outcome is unknown, and that is what the caller is told.
+A home stores its grants in memory only, so a new home may not know the grants of the previous
+one. It records the time from which its knowledge is complete (``floor``). A key created before
+that time is not granted; its caller gets the outcome ``outcome_unknown``.
 """
 
 from __future__ import annotations
@@ -30,23 +30,24 @@
 from zincwell.ports import Clock
 from zincwell.settings import TimingSettings
 
-NOT_READY_MS = 200
-ABRUPT_LEASES = 2
-LEAVER_S = 2.0
+NOT_READY_RETRY_MS = 200
+ABRUPT_CLOSE_WAIT_LEASES = 2
+CLOSED_SEAT_HANDOVER_S = 2.0
 STALE_RETRY_MS = 50
 
 log = logging.getLogger("zincwell.home")
 
 
 @dataclass
-class Step:
-    """The seats of our domain from one moment on.
-
-    :ivar since: wall clock from when these seats held.
-    :ivar grants_from: monotonic time before which keys new to us are not granted.
-    :ivar floor_by_seat: what homes before this step said, during it or later, of the
-        completeness of what they handed over. What they said earlier is worth nothing here:
-        they went on granting until this step.
+class MembershipView:
+    """Set of the domain's open seats, valid until the next view replaces it.
+
+    :ivar since: wall-clock time from which the view is valid.
+    :ivar grants_from: monotonic time before which this entry doesn't grant keys that the view
+        gave it.
+    :ivar floor_by_seat: by seat id, the time from which the keys that the seat handed over are
+        complete. Only handovers received under this view or a later one count: previous homes
+        went on granting until the view took effect.
     """
 
     since: float
@@ -58,9 +59,9 @@
 class Home:
     """Grants the keys that this entry is home to.
 
-    :param domains: returns the domains that the configuration spreads keys over.
-    :param owned_here: returns what this entry itself owns under a key. A successor home is
-        often the owner of keys that the home before it granted.
+    :param domains: returns the failure domains over which keys without a prefix are spread.
+    :param owned_here: returns the ownership record of a key that this entry itself owns, or
+        None. A new home often owns keys that the previous home granted to it.
     """
 
     def __init__(
@@ -79,22 +80,22 @@
         self._membership = membership
         self._clock = clock
         self._timing = timing
-        self._steps: list[Step] = []
+        self._views: list[MembershipView] = []
         self._owned_by_key: dict[str, OwnedKey] = {}
         self._refused_by_key: dict[str, tuple[int, float]] = {}
-        self._awaited: set[str] = set()
-        self._leavers: list[Seat] = []
-        self._leavers_until = 0.0
-        self._not_before = NEVER
+        self._pending_handovers: set[str] = set()
+        self._leaving_seats: list[Seat] = []
+        self._leaving_seats_until = 0.0
+        self._no_grants_before = NEVER
         membership.on_change.append(self._note_change)
 
     @property
     def size(self) -> int:
-        """Number of keys remembered."""
+        """Number of grants held in memory."""
         return len(self._owned_by_key)
 
     def claim(self, *, asker: Seat, claim: Claim) -> ClaimReply:
-        """Grant a key to the asker, or say why not."""
+        """Grant a key to the asker, or return the reason why it isn't granted."""
         if not self._is_home_to(claim.key):
             return ClaimReply(kind=ClaimKind.MOVED)
         if not self._keeper.may_grant() or self._keeper.leaving:
@@ -114,7 +115,10 @@
         return ClaimReply(kind=ClaimKind.OWNED, owner=owned.owner, serial=owned.serial)
 
     def hand_over(self, *, seat: Seat, owned: list[OwnedKey]) -> list[OwnedKey]:
-        """Return the keys that a seat of any domain is home to, of ours and of those given."""
+        """Return those keys whose home is a given seat, which may be of any domain.
+
+        Selects from this home's grants and from ``owned``, the keys that this entry owns.
+        """
         seats = self._membership.seats_of(seat.domain)
         known = {key.key: key for key in owned}
         known.update(self._owned_by_key)
@@ -126,58 +130,59 @@
         ]
 
     def floor(self) -> float:
-        """Return the wall clock time from when all that we were home to is known."""
-        if not self._steps:
+        """Return the wall-clock time from which this home knows every grant of its keys."""
+        if not self._views:
             return self._clock.wall()
-        floors = [self._known_since(self._steps[0])]
-        for before, step in itertools.pairwise(self._steps):
-            since = self._known_since(step)
-            sources = self._sources(before, step)
-            floors += [step.floor_by_seat.get(seat.id, since) for seat in sources]
+        floors = [self._known_since(self._views[0])]
+        for before, view in itertools.pairwise(self._views):
+            since = self._known_since(view)
+            previous_homes = self._previous_homes(before, view)
+            floors += [view.floor_by_seat.get(seat.id, since) for seat in previous_homes]
         return max(floors)
 
-    def _known_since(self, step: Step) -> float:
-        """Return from when we know the keys that came to us at a step without a handover.
+    def _known_since(self, view: MembershipView) -> float:
+        """Return from when the grants of keys that a view gave this seat are known.
 
-        Not before all others knew of our seat: until then one of them may have granted them.
+        Holds without a handover. The time is never before all other seats knew of this one:
+        until then one of them may have granted the keys.
         """
-        return max(step.since, self._keeper.joined_at)
+        return max(view.since, self._keeper.joined_at)
 
-    def _sources(self, before: Step, step: Step) -> list[Seat]:
-        """Return the seats that keys of ours came from at a step.
+    def _previous_homes(self, before: MembershipView, view: MembershipView) -> list[Seat]:
+        """Return the seats whose keys moved to this seat from one view to the next.
 
-        Rendezvous hashing gives us keys of the seats that went, and when we come ourselves,
-        keys of all, or just those of the earlier run of this VM.
+        With rendezvous hashing these are the seats that closed. If this seat opened in the
+        view, they are all seats, or only that of the earlier run of this VM if there was one.
         """
         me = self._keeper.seat
-        if all(seat.id != me.id for seat in step.seats):
+        if all(seat.id != me.id for seat in view.seats):
             return []
         if any(seat.id == me.id for seat in before.seats):
-            staying = {seat.vm for seat in step.seats}
+            staying = {seat.vm for seat in view.seats}
             return [seat for seat in before.seats if seat.vm not in staying]
         earlier = [seat for seat in before.seats if seat.vm == me.vm]
         return earlier or before.seats
 
     def take_over(self, reply: HandoverReply) -> None:
-        """Learn the keys that another entry knows of; the later grant wins."""
+        """Merge the keys that another entry handed over; the grant with the higher serial wins."""
         for key in reply.keys:
             known = self._owned_by_key.get(key.key)
             if known is None or known.serial < key.serial:
                 self._owned_by_key[key.key] = key
-        for step in self._steps:
-            step.floor_by_seat.setdefault(reply.seat.id, reply.floor)
-        self._awaited.discard(reply.seat.id)
+        for view in self._views:
+            view.floor_by_seat.setdefault(reply.seat.id, reply.floor)
+        self._pending_handovers.discard(reply.seat.id)
 
     def awaited(self) -> list[Seat]:
-        """Return the seats that have yet to tell us what they know."""
+        """Return the seats whose handover is still pending."""
         seats = {seat.id: seat for seat in self._membership.seats_by_vm.values()}
-        if self._clock.monotonic() < self._leavers_until:
-            seats |= {seat.id: seat for seat in self._leavers}
-        self._awaited &= set(seats)
-        return [seats[seat_id] for seat_id in sorted(self._awaited)]
+        if self._clock.monotonic() < self._leaving_seats_until:
+            seats |= {seat.id: seat for seat in self._leaving_seats}
+        self._pending_handovers &= set(seats)
+        return [seats[seat_id] for seat_id in sorted(self._pending_handovers)]
 
     def forget_old(self) -> None:
-        """Drop keys past the resubmission window; callers' later resends are refused anyway."""
+        """Drop keys older than the resubmission window; resends of them are refused anyway."""
         oldest = self._clock.wall() - self._timing.resubmission_window_s
         oldest -= 2 * self._timing.clock_margin_s
         old = [key for key, owned in self._owned_by_key.items() if owned.created_at < oldest]
@@ -186,8 +191,8 @@
         old = [key for key, (_, at) in self._refused_by_key.items() if at < oldest]
         for key in old:
             del self._refused_by_key[key]
-        while len(self._steps) > 1 and self._steps[1].since < oldest:
-            self._steps.pop(0)
+        while len(self._views) > 1 and self._views[1].since < oldest:
+            self._views.pop(0)
 
     def _is_home_to(self, key: str) -> bool:
         me = self._keeper.seat
@@ -197,28 +202,29 @@
         return home is not None and home.id == me.id
 
     def _claim_new(self, asker: Seat, claim: Claim) -> ClaimReply:
-        home_since, grants_from = self._home_since(claim.key)
-        wait_s = max(grants_from, self._not_before) - self._clock.monotonic()
+        known_since, grants_from = self._grants_known_since(claim.key)
+        wait_s = max(grants_from, self._no_grants_before) - self._clock.monotonic()
         if wait_s > 0:
-            return _not_ready("taking_over", round(wait_s * 1000) + NOT_READY_MS)
-        fresh = claim.created_at > home_since + self._timing.clock_margin_s
+            return _not_ready("taking_over", round(wait_s * 1000) + NOT_READY_RETRY_MS)
+        fresh = claim.created_at > known_since + self._timing.clock_margin_s
         if fresh or self._is_surely_first(claim):
             if claim.intent is Intent.REFUSE:
-                _log_decision("key_never_granted", asker, claim, home_since)
+                _log_decision("key_never_granted", asker, claim, known_since)
             return self._decide_new(asker, claim)
         if claim.never_run:
             return ClaimReply(kind=ClaimKind.STALE, reason="stale", retry_after_ms=STALE_RETRY_MS)
-        if self._awaited:
+        if self._pending_handovers:
             return _not_ready("recovering")
-        _log_decision("key_unknown", asker, claim, home_since)
+        _log_decision("key_unknown", asker, claim, known_since)
         return ClaimReply(kind=ClaimKind.UNKNOWN, reason="home_changed")
 
     def _is_surely_first(self, claim: Claim) -> bool:
-        """Tell whether an attempt that calls itself first came too early to be overtaken.
+        """Tell whether a claim marked ``never_run`` is recent enough to be trusted.
 
-        Held up on its way, it may have been overtaken by a later attempt that an earlier home
-        granted. From the last grant of that home until our first one lease goes by, so an
-        attempt that was sent less than a lease ago was sent after it.
+        A delayed first attempt may have been overtaken by a later attempt that the previous
+        home granted. At least one lease lies between the last grant of the previous home and
+        the first grant of this one, so an attempt sent less than a lease ago was sent after
+        that last grant.
         """
         longest_s = self._timing.seat_lease_s - self._timing.clock_margin_s
         return claim.never_run and self._clock.wall() - claim.sent_at < longest_s
@@ -233,10 +239,10 @@
         return self._grant(asker, claim, serial=1)
 
     def _note_refused(self, claim: Claim) -> None:
-        """Remember an attempt whose caller is told that the key has not run.
+        """Record an attempt whose caller is about to get the answer ``not_run``.
 
-        An earlier attempt may still be on its way through another entry. Granted after this
-        answer, it would run what the caller was told had not run.
+        An earlier attempt may still be in flight through another entry. If it were granted
+        after this answer, it would make the answer false.
         """
         if claim.attempt:
             known = self._refused_by_key.get(claim.key, (0, 0.0))[0]
@@ -257,47 +263,52 @@
         now = self._clock.monotonic()
         if abrupt:
             if not self._keeper.has_joined():
-                self._not_before = now + ABRUPT_LEASES * self._timing.seat_lease_s
-            # The holder of a seat that others closed may grant until its lease lapses, and
-            # its grant may be taken up one lease later.
-            now += ABRUPT_LEASES * self._timing.seat_lease_s
+                self._no_grants_before = now + ABRUPT_CLOSE_WAIT_LEASES * self._timing.seat_lease_s
+            # The holder of a seat that a peer closed may grant until its lease expires, and an
+            # asker accepts a grant up to one lease after its claim.
+            now += ABRUPT_CLOSE_WAIT_LEASES * self._timing.seat_lease_s
         seats = self._membership.seats_of(domain)
-        before = self._steps[-1].seats if self._steps else []
-        self._steps.append(Step(since=self._clock.wall(), grants_from=now, seats=seats))
-        # A seat that its holder closed itself is asked as well, for as long as it is there.
+        before = self._views[-1].seats if self._views else []
+        self._views.append(MembershipView(since=self._clock.wall(), grants_from=now, seats=seats))
+        # A seat that its holder closed itself is asked too, while its process still answers.
         staying = {seat.id for seat in seats}
-        self._leavers = [] if abrupt else [seat for seat in before if seat.id not in staying]
-        self._leavers_until = self._clock.monotonic() + LEAVER_S
-        self._awaited = {seat.id for seat in self._membership.seats_by_vm.values()}
-        self._awaited |= {seat.id for seat in self._leavers}
-        self._awaited.discard(self._keeper.seat.id)
+        self._leaving_seats = [] if abrupt else [seat for seat in before if seat.id not in staying]
+        self._leaving_seats_until = self._clock.monotonic() + CLOSED_SEAT_HANDOVER_S
+        self._pending_handovers = {seat.id for seat in self._membership.seats_by_vm.values()}
+        self._pending_handovers |= {seat.id for seat in self._leaving_seats}
+        self._pending_handovers.discard(self._keeper.seat.id)
+
+    def _grants_known_since(self, key: str) -> tuple[float, float]:
+        """Return from when all grants of a key are known, and from when it may be granted.
 
-    def _home_since(self, key: str) -> tuple[float, float]:
-        """Return from when we know all grants of a key, and when we may grant it.
+        Goes back through the views while this seat was the key's home. If the home before it
+        has handed over its keys, the first time is the floor that came with that handover.
 
-        Follows the steps back as long as we were the key's home, and one step further if the
-        home before us has handed over what it knew.
+        :returns: wall-clock time, monotonic time.
         """
-        ours: Step | None = None
-        for step in reversed(self._steps):
-            home = home_of_key(key, step.seats)
+        own_view: MembershipView | None = None
+        for view in reversed(self._views):
+            home = home_of_key(key, view.seats)
             if home is None:
                 continue
             if home.id == self._keeper.seat.id:
-                ours = step
+                own_view = view
                 continue
-            if ours is None:
+            if own_view is None:
                 break
-            since = ours.floor_by_seat.get(home.id, self._known_since(ours))
-            return since, ours.grants_from
-        if ours is None:
+            since = own_view.floor_by_seat.get(home.id, self._known_since(own_view))
+            return since, own_view.grants_from
+        if own_view is None:
             return self._clock.wall(), 0.0
-        return self._known_since(ours), ours.grants_from
+        return self._known_since(own_view), own_view.grants_from
 
 
-def _log_decision(event: str, asker: Seat, claim: Claim, home_since: float) -> None:
-    """Log what is said of a key that is not granted, and how old the key and our knowledge are."""
-    made_after_s = round(claim.created_at - home_since, 3)
+def _log_decision(event: str, asker: Seat, claim: Claim, known_since: float) -> None:
+    """Log the decision not to grant a key.
+
+    ``made_after_s`` is the time from complete knowledge of the key's grants to its creation.
+    """
+    made_after_s = round(claim.created_at - known_since, 3)
     log.info(event, extra={"job": claim.key, "asker": asker.id, "made_after_s": made_after_s})
 
 
@@ -305,7 +316,7 @@
     return ClaimReply(kind=ClaimKind.GRANTED, owner=owned.owner, serial=owned.serial)
 
 
-def _not_ready(reason: str, retry_after_ms: int = NOT_READY_MS) -> ClaimReply:
+def _not_ready(reason: str, retry_after_ms: int = NOT_READY_RETRY_MS) -> ClaimReply:
     return ClaimReply(kind=ClaimKind.NOT_READY, reason=reason, retry_after_ms=retry_after_ms)
 
 
--- a/zincwell/core/_membership.py
+++ b/zincwell/core/_membership.py
@@ -1,7 +1,7 @@
-"""Which entries there are, and which of them is home to a key.
+"""Group membership of the entries, and assignment of keys to their homes.
 
-The entries' seats are folded from the log. A *seat* is one run of one entry; the *home* of a
-key is a seat of the key's failure domain, by rendezvous hashing.
+The membership is replicated through the log. A *seat* is the membership of one run of one
+entry. The *home* of a key is a seat of the key's failure domain, chosen by rendezvous hashing.
 """
 
 from __future__ import annotations
@@ -20,11 +20,13 @@
 
 
 class Seat(Struct, frozen=True, kw_only=True):
-    """One run of one entry.
+    """Membership of one run of one entry.
 
-    :param incarnation: differs at each start of the process.
+    :param vm: name of the entry's VM.
+    :param incarnation: identifies the run; differs at each start of the process.
+    :param domain: failure domain of the entry.
     :param url: base URL of its listener for peers.
-    :param opened: offset of the record that opened it; -1 if none did.
+    :param opened: log offset of the record that opened it; -1 if there is none.
     """
 
     vm: str
@@ -35,12 +37,12 @@
 
     @property
     def id(self) -> str:
-        """Name of the seat."""
+        """Identifier of the seat: VM and incarnation."""
         return f"{self.vm}:{self.incarnation}"
 
 
 class OpenSeat(Struct, frozen=True, kw_only=True, tag_field="kind", tag="open"):
-    """A seat opens; an earlier one of the same VM closes by it."""
+    """Opens a seat and closes an earlier one of the same VM."""
 
     vm: str
     incarnation: str
@@ -49,7 +51,10 @@
 
 
 class CloseSeat(Struct, frozen=True, kw_only=True, tag_field="kind", tag="close"):
-    """A seat closes for good."""
+    """Closes a seat.
+
+    :param by: id of the seat whose entry closes it.
+    """
 
     vm: str
     incarnation: str
@@ -60,10 +65,10 @@
 
 
 class Membership(Fold):
-    """Open seats of all entries.
+    """Open seats of all entries, replicated through the log.
 
-    :ivar on_change: called with the domain whose seats changed, and whether a seat may have
-        been closed against its holder's will (who may not know it yet).
+    :ivar on_change: callbacks, called with the domain whose seats changed, and whether a seat
+        may have been closed by another entry, so that its holder may not know it yet.
     """
 
     stream = STREAM
@@ -105,12 +110,12 @@
             opened=offset,
         )
         domains = {value.domain} | ({before.domain} if before else set())
-        self._tell(domains, abrupt=before is not None)
+        self._notify_listeners(domains, abrupt=before is not None)
 
     def _close(self, value: CloseSeat) -> None:
         if self.is_open(vm=value.vm, incarnation=value.incarnation):
             seat = self.seats_by_vm.pop(value.vm)
-            self._tell({seat.domain}, abrupt=value.by != seat.id)
+            self._notify_listeners({seat.domain}, abrupt=value.by != seat.id)
 
     def _load(self, snapshot: dict[str, Any]) -> None:
         seats = msgspec.convert(snapshot["seats"], list[Seat])
@@ -118,22 +123,22 @@
         self.seats_by_vm = {seat.vm: seat for seat in seats}
         changed = {seat.domain for seat in before.values() if self.seats_by_vm.get(seat.vm) != seat}
         changed |= {seat.domain for seat in seats if before.get(seat.vm) != seat}
-        self._tell(changed, abrupt=True)
+        self._notify_listeners(changed, abrupt=True)
 
     def snapshot(self) -> dict[str, Any]:
         """Return the open seats."""
         return {"seats": msgspec.to_builtins(list(self.seats_by_vm.values()))}
 
-    def _tell(self, domains: Iterable[str], *, abrupt: bool) -> None:
+    def _notify_listeners(self, domains: Iterable[str], *, abrupt: bool) -> None:
         for domain in sorted(domains):
             for call in self.on_change:
                 call(domain, abrupt)
 
 
 def domain_of_key(key: str, domains: list[str]) -> str:
-    """Return the failure domain that a key has its home in.
+    """Return the failure domain in which a key has its home.
 
-    A key ``domain/...`` names it; any other key is spread over the domains given.
+    A key ``domain/...`` names one of the given domains; other keys are hashed over them.
     """
     prefix, slash, _ = key.partition("/")
     if slash and prefix in domains:
@@ -142,10 +147,10 @@
 
 
 def home_of_key(key: str, seats: Iterable[Seat]) -> Seat | None:
-    """Return the home of a key among the seats of its domain, or None if there are none."""
+    """Return the home of a key among the seats of its domain, or None if there are no seats."""
     return max(seats, key=lambda seat: _weight(seat.vm, key), default=None)
 
 
 def _weight(name: str, key: str) -> int:
-    """Rendezvous hashing: only keys of a seat that comes or goes change their home."""
+    """Return the rendezvous weight; only keys of a seat that opens or closes change their home."""
     return xxhash.xxh3_64_intdigest(f"{name}|{key}".encode())
--- a/zincwell/core/_messages.py
+++ b/zincwell/core/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries."""
+"""Messages exchanged between entries."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class Load(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What an entry tells its domain peers of its use of the workers.
+    """Use of the workers by one entry, reported to the peers of its domain.
 
-    :param queued_by_pool: tasks waiting for a slot.
-    :param running_by_worker: tasks of this entry running there.
-    :param running_by_tenant: tasks running here, for quotas.
-    :param queued_by_tenant: tasks queued here, for quotas.
+    :param queued_by_pool: number of tasks waiting for a slot.
+    :param running_by_worker: number of the entry's tasks running on each worker.
+    :param running_by_tenant: number of running tasks, for quotas.
+    :param queued_by_tenant: number of queued tasks, for quotas.
     """
 
     queued_by_pool: dict[str, int] = {}
@@ -27,11 +27,11 @@
 
 
 class Lending(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Slots that an entry lends one of its domain peers.
+    """Slots that an entry lends to one peer of its domain.
 
-    :param number: grows with each change.
-    :param per_worker_by_pool: slots lent of each worker of a pool.
-    :param less_by_worker: how many less of the workers named.
+    :param number: version, incremented with each change.
+    :param per_worker_by_pool: slots lent on each worker of a pool.
+    :param less_by_worker: by how many slots the loan is reduced on single workers.
     """
 
     number: int = 0
@@ -40,13 +40,13 @@
 
 
 class Heartbeat(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Sent to each peer of the domain, and answered by the same.
+    """Heartbeat to another entry; the answer is a heartbeat too.
 
-    :param epoch: next offset of the sender's fold of the seats.
-    :param config: next offset of its fold of the configuration.
+    :param epoch: next log offset of the sender's list of seats.
+    :param config: next log offset of its configuration.
     :param ack: in an answer: the receiver has not closed the sender's seat and is not about to.
-    :param lending: in a call: what the sender lends the receiver.
-    :param lending_seen: in an answer: number of the lending that the receiver goes by.
+    :param lending: in a call: slots that the sender lends to the receiver.
+    :param lending_seen: in an answer: version of the lending that the receiver applies.
     :param used_by_worker: in an answer: slots borrowed from the sender that are in use.
     """
 
@@ -61,7 +61,7 @@
 
 
 class StateReply(Struct, frozen=True, kw_only=True):
-    """Both folds of an entry, for a peer that is behind."""
+    """Seats and configuration of an entry, with their next log offsets."""
 
     epoch: int
     seats: dict[str, Any]
@@ -70,7 +70,7 @@
 
 
 class Intent(enum.StrEnum):
-    """Why an entry asks a home about a key."""
+    """Purpose of a claim."""
 
     OWN = "own"
     LOOK_UP = "look_up"
@@ -78,14 +78,14 @@
 
 
 class Claim(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """An entry asks the home of a key to become its owner, or just who owns it.
+    """Request of an entry to the home of a key, to become its owner or to look up the owner.
 
-    :param intent: with ``refuse`` the asker is about to tell its caller that the key has not
-        run; the home then grants it to no earlier attempt, which would make that untrue.
+    :param intent: with ``refuse`` the asker is about to answer its caller that the key has not
+        run; the home then grants it to no earlier attempt, which would make the answer false.
     :param attempt: number of the caller's attempt; 0 if the caller does not count.
     :param never_run: the caller states that no earlier attempt can have run.
     :param sent_at: when the caller sent this attempt, in seconds since 1970.
-    :param disown: serial of a grant whose owner has said that it never started.
+    :param disown: serial of a grant that its owner has refused to start for good.
     """
 
     key: str
@@ -98,7 +98,7 @@
 
 
 class ClaimKind(enum.StrEnum):
-    """What a home answers to a claim."""
+    """Decision of a home on a claim."""
 
     GRANTED = "granted"
     OWNED = "owned"
@@ -113,8 +113,9 @@
 class ClaimReply(Struct, frozen=True, kw_only=True, omit_defaults=True):
     """Answer to one claim.
 
-    :param owner: the owner, if granted or owned.
-    :param serial: number of the grant; grows each time that the key changes its owner.
+    :param owner: the owner, if the kind is ``granted`` or ``owned``.
+    :param serial: fencing number of the grant; incremented when the key changes its owner.
+    :param reason: why the key was not granted.
     """
 
     kind: ClaimKind
@@ -125,14 +126,14 @@
 
 
 class ClaimBatch(Struct, frozen=True, kw_only=True):
-    """Claims that one entry sends to one home together."""
+    """Claims that one entry sends to one home in one message."""
 
     asker: Seat
     claims: list[Claim]
 
 
 class OwnedKey(Struct, frozen=True, kw_only=True):
-    """A key with its owner, as a home or an owner remembers it."""
+    """Ownership record of a key, as kept by its home and by its owner."""
 
     key: str
     owner: Seat
@@ -141,16 +142,21 @@
 
 
 class HandoverCall(Struct, frozen=True, kw_only=True):
-    """A new home asks for what others know of its keys."""
+    """Request of a new home for the ownership records of its keys.
+
+    :param seat: the new home.
+    """
 
     seat: Seat
 
 
 class HandoverReply(Struct, frozen=True, kw_only=True):
-    """Keys of the asking home.
+    """Ownership records of the asking home's keys.
 
-    :param floor: keys created after this time (wall clock) that the answering seat was
-        home to are all in the list.
+    :param seat: the answering seat.
+    :param epoch: next log offset of its list of seats.
+    :param floor: wall-clock time; the list is complete for keys that were created later and
+        whose home was the answering seat.
     """
 
     seat: Seat
@@ -160,10 +166,11 @@
 
 
 class AttachCall(Struct, frozen=True, kw_only=True):
-    """Ask the owner of a key for its answer, waiting up to ``wait_s`` seconds.
+    """Request to the owner of a key for its answer, waiting up to ``wait_s`` seconds.
 
-    :param owner: seat that the home named; a later run of the same VM knows nothing of it.
-    :param digest: of the submission that the asker has; 0 if it has only the key.
+    :param owner: id of the seat that the home named; a later run of the entry on the same VM
+        doesn't have the job.
+    :param digest: of the asker's submission; 0 if the asker has only the key.
     """
 
     key: str
@@ -174,7 +181,7 @@
 
 
 class AttachKind(enum.StrEnum):
-    """What an owner answers to an attach."""
+    """Kind of an owner's answer to an attach call."""
 
     ANSWER = "answer"
     PENDING = "pending"
@@ -184,14 +191,17 @@
 
 
 class AttachReply(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Answer to an attach; ``answer`` holds an Answer."""
+    """Answer to an attach or cancel call.
+
+    :param answer: encoded ``Answer``, if the kind is ``answer``.
+    """
 
     kind: AttachKind
     answer: Raw = NO_VALUE
 
 
 class CancelCall(Struct, frozen=True, kw_only=True):
-    """Ask the owner of a key to cancel its job."""
+    """Request to the owner of a key to cancel its job."""
 
     key: str
     owner: str
--- a/zincwell/core/_ownership.py
+++ b/zincwell/core/_ownership.py
@@ -1,4 +1,4 @@
-"""Becoming the owner of a key, from the asking entry's side."""
+"""Client side of claims: asks the home of a key to make this entry its owner."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 from zincwell.ports import Clock
 from zincwell.settings import TimingSettings
 
-ASK_AGAIN_S = 0.05
-ASK_TIMEOUT_S = 0.4
+CLAIM_RETRY_S = 0.05
+CLAIM_TIMEOUT_S = 0.4
 HOME_RETRY_MS = 1_000
 
 log = logging.getLogger("zincwell.ownership")
 
 
 class Ownership:
-    """Asks the homes of keys for grants.
+    """Sends claims to the homes of keys.
 
-    :param domains: returns the domains that keys without a prefix are spread over.
+    :param home: the home in this entry, for the keys that it is home to.
+    :param domains: returns the failure domains over which keys without a prefix are spread.
     """
 
     def __init__(
@@ -48,9 +49,9 @@
         self._sender_by_url: dict[str, ClaimSender] = {}
 
     async def acquire(self, claim: Claim) -> ClaimReply:
-        """Ask until the home decides or the budget is spent.
+        """Claim a key, with retries until the home decides or ``claim_budget_s`` has passed.
 
-        Asking again is safe: a home gives the same asker the same grant.
+        A retry is idempotent: a home gives the same asker the same grant.
         """
         give_up_at = self._clock.monotonic() + self._timing.claim_budget_s
         while True:
@@ -59,7 +60,7 @@
                 return reply
             if self._clock.monotonic() > give_up_at:
                 return reply
-            await asyncio.sleep(ASK_AGAIN_S)
+            await asyncio.sleep(CLAIM_RETRY_S)
 
     async def _ask(self, claim: Claim) -> ClaimReply:
         domain = domain_of_key(claim.key, self._domains())
@@ -75,8 +76,8 @@
             log.info("home_unreachable", extra={"home": home.id, "error": error})
             return _not_ready("home_unreachable")
         if self._clock.monotonic() - asked_at > self._timing.seat_lease_s:
-            # A grant that was long on its way may come from a home that was paused and has
-            # been replaced since; its successor knows nothing of it.
+            # A delayed grant may come from a home that was paused and has been replaced since,
+            # and the new home doesn't know of it.
             return _not_ready("late_grant")
         return reply
 
@@ -84,7 +85,7 @@
         sender = self._sender_by_url.get(url)
         if sender is None:
             sender = ClaimSender(
-                asker=self._seat, url=url, peers=self._peers, timeout_s=ASK_TIMEOUT_S
+                asker=self._seat, url=url, peers=self._peers, timeout_s=CLAIM_TIMEOUT_S
             )
             self._sender_by_url[url] = sender
         return sender
--- a/zincwell/core/_peers.py
+++ b/zincwell/core/_peers.py
@@ -1,4 +1,4 @@
-"""Talking to the other entries: heartbeats, catching up, and batches of claims."""
+"""Communication with other entries: heartbeats, state transfer, and batches of claims."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 from zincwell.settings import TimingSettings
 
 MAX_CLAIMS_IN_BATCH = 500
-STRANGER_EVERY = 8
-LOAD_S = 1.0
+CROSS_DOMAIN_ROUNDS = 8
+LOAD_MAX_AGE_S = 1.0
 
 log = logging.getLogger("zincwell.peers")
 Message = TypeVar("Message")
 
 
 class Peers:
-    """The other entries as this one reaches them.
+    """Sends messages to other entries and decodes their replies.
 
     :param count: called with the path of each message sent, for metrics.
     """
@@ -50,9 +50,9 @@
     async def call(
         self, *, url: str, path: str, message: Struct, reply: type[Message], timeout_s: float
     ) -> Message:
-        """Send a message and decode the answer.
+        """Send a message and decode the reply.
 
-        :raises PeerUnavailableError: if no sound answer comes in time.
+        :raises PeerUnavailableError: if no valid reply arrives within ``timeout_s`` seconds.
         """
         self._count(path)
         body = msgspec.json.encode(message)
@@ -64,31 +64,35 @@
 
 
 class ClaimSender:
-    """Sends claims to one home, all that wait together in one message."""
+    """Sends claims to one home, batching all pending claims into one message.
+
+    :param asker: seat of this entry.
+    :param url: base URL of the home's listener for peers.
+    """
 
     def __init__(self, *, asker: Seat, url: str, peers: Peers, timeout_s: float):
         self._asker = asker
         self._url = url
         self._peers = peers
         self._timeout_s = timeout_s
-        self._waiting: list[tuple[Claim, asyncio.Future[ClaimReply]]] = []
+        self._pending: list[tuple[Claim, asyncio.Future[ClaimReply]]] = []
         self._task: asyncio.Task | None = None
 
     async def send(self, claim: Claim) -> ClaimReply:
-        """Send a claim with the next message.
+        """Send a claim in the next batch and return the home's reply.
 
-        :raises PeerUnavailableError: if the home does not answer.
+        :raises PeerUnavailableError: if the home doesn't reply in time.
         """
         future = asyncio.get_running_loop().create_future()
-        self._waiting.append((claim, future))
+        self._pending.append((claim, future))
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._send_all())
         return await future
 
     async def _send_all(self) -> None:
-        while self._waiting:
-            batch = self._waiting[:MAX_CLAIMS_IN_BATCH]
-            del self._waiting[:MAX_CLAIMS_IN_BATCH]
+        while self._pending:
+            batch = self._pending[:MAX_CLAIMS_IN_BATCH]
+            del self._pending[:MAX_CLAIMS_IN_BATCH]
             await self._send_batch(batch)
 
     async def _send_batch(self, batch: list[tuple[Claim, asyncio.Future[ClaimReply]]]) -> None:
@@ -102,7 +106,9 @@
                 timeout_s=self._timeout_s,
             )
             if len(replies) != len(batch):
-                raise PeerUnavailableError(f"{self._url}: {len(replies)} replies to {len(batch)}")
+                raise PeerUnavailableError(
+                    f"{self._url}: {len(replies)} replies instead of {len(batch)}"
+                )
         except PeerUnavailableError as error:
             for _, future in batch:
                 if not future.done():
@@ -114,20 +120,26 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HeardLoad:
-    """A peer's load and when it told it."""
+class ReceivedLoad:
+    """Load that a peer reported.
+
+    :ivar at: monotonic time of receipt.
+    """
 
     load: Load
     at: float
 
 
 class Heartbeats:
-    """Sends heartbeats to the domain's peers and now and then to a stranger.
+    """Exchanges heartbeats with the domain's peers, and less often with other domains.
 
-    A peer's answer shows how far its folds are; whoever is behind asks the other for both.
-    So a domain that is cut off from the platform has the newest that any of it knows.
+    A heartbeat carries the log offsets of the sender's replicated state (seats and
+    configuration); an entry that is behind fetches both from the other. A domain that is
+    partitioned from the platform thus converges on the newest state that any of its entries has.
 
-    :param seeds: returns entries named by the list of VMs, for when no seat is known yet.
+    :param load: returns this entry's current load.
+    :param seeds: returns the URLs of entries on the list of VMs, so that an entry finds others
+        before it knows any seat.
     """
 
     def __init__(
@@ -156,42 +168,42 @@
         self._seeds = seeds
         self._task_by_url: dict[str, asyncio.Task] = {}
         self._round = 0
-        self._heard_by_vm: dict[str, HeardLoad] = {}
+        self._load_by_vm: dict[str, ReceivedLoad] = {}
 
     async def run(self) -> None:
-        """Send heartbeats until cancelled, never more than one at a time to a peer."""
+        """Send heartbeats until cancelled, with at most one in flight to each peer."""
         while True:
             for seat in self._keeper.others():
-                self._send(seat.url, seat.vm)
-            if self._round % STRANGER_EVERY == 0:
-                for url in self._strangers():
-                    self._send(url, "")
+                self._start_heartbeat(seat.url, seat.vm)
+            if self._round % CROSS_DOMAIN_ROUNDS == 0:
+                for url in self._cross_domain_urls():
+                    self._start_heartbeat(url, "")
             self._round += 1
             await asyncio.sleep(self._timing.heartbeat_s)
 
     def loads(self) -> list[Load]:
-        """Return what the domain's other entries have lately told of their use.
+        """Return the loads that the domain's other entries reported recently.
 
-        What an entry told before it died or was cut off is no longer so, and a quota counted
-        from it would be refused for ever.
+        The last report of an entry that died or was cut off is outdated. If it still counted,
+        a tenant with a quota could be refused for ever.
         """
-        oldest = self._clock.monotonic() - LOAD_S
-        heard = (self._heard_by_vm.get(seat.vm) for seat in self._keeper.others())
-        return [one.load for one in heard if one is not None and one.at > oldest]
+        oldest = self._clock.monotonic() - LOAD_MAX_AGE_S
+        received = (self._load_by_vm.get(seat.vm) for seat in self._keeper.others())
+        return [one.load for one in received if one is not None and one.at > oldest]
 
     def beat_now(self) -> None:
-        """Send heartbeats to the domain's peers at once, to have lent slots back.
+        """Send heartbeats to the domain's peers at once, to reclaim lent slots.
 
-        Tasks that wait call this at each turn of the loop; peers that have been told already
-        are not told again before their time.
+        Called in each iteration of the event loop while tasks wait. Does nothing if the latest
+        offers to the peers lend no slots.
         """
         if not self._shares.may_get_back():
             return
         for seat in self._keeper.others():
-            self._send(seat.url, seat.vm)
+            self._start_heartbeat(seat.url, seat.vm)
 
     def receive(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Take a peer's heartbeat and make the answer."""
+        """Process a peer's heartbeat and return the answer."""
         ack = self._keeper.acknowledges(heartbeat.seat)
         self._note_load(heartbeat)
         vm = heartbeat.seat.vm
@@ -205,7 +217,7 @@
         return self._heartbeat(ack=ack, seen=self._shares.seen(vm), used=used)
 
     def state(self) -> StateReply:
-        """Return both folds, for a peer that is behind."""
+        """Return the seats and the configuration, for a peer that is behind."""
         return StateReply(
             epoch=self._membership.next_offset,
             seats=self._membership.snapshot(),
@@ -213,25 +225,25 @@
             configuration=self._configuration.snapshot(),
         )
 
-    def _send(self, url: str, vm: str) -> None:
-        """Send a heartbeat, unless one is on its way already.
+    def _start_heartbeat(self, url: str, vm: str) -> None:
+        """Send a heartbeat, unless one is already in flight.
 
-        :param vm: name of a peer of our domain; empty for a stranger.
+        :param vm: name of a peer of this entry's domain; empty for an entry of another domain.
         """
         task = self._task_by_url.get(url)
         if task is None or task.done():
-            self._task_by_url[url] = asyncio.create_task(self._beat(url, vm))
+            self._task_by_url[url] = asyncio.create_task(self._send_heartbeat(url, vm))
 
-    def _strangers(self) -> list[str]:
-        """Pick one entry of another domain, or of the VM list while there are no seats."""
+    def _cross_domain_urls(self) -> list[str]:
+        """Return the URL of one entry of another domain or of the VM list, in rotation."""
         own = self._keeper.seat
         urls = [s.url for s in self._membership.seats_by_vm.values() if s.domain != own.domain]
         urls = sorted(set(urls) | set(self._seeds()) - {own.url})
         if not urls:
             return []
-        return [urls[(self._round // STRANGER_EVERY) % len(urls)]]
+        return [urls[(self._round // CROSS_DOMAIN_ROUNDS) % len(urls)]]
 
-    async def _beat(self, url: str, vm: str) -> None:
+    async def _send_heartbeat(self, url: str, vm: str) -> None:
         lending = NO_LENDING
         if vm:
             lending = self._shares.offer(vm, self._dispatcher.workers())
@@ -274,7 +286,7 @@
     def _note_load(self, heartbeat: Heartbeat) -> None:
         if heartbeat.seat.domain == self._keeper.seat.domain:
             now = self._clock.monotonic()
-            self._heard_by_vm[heartbeat.seat.vm] = HeardLoad(load=heartbeat.load, at=now)
+            self._load_by_vm[heartbeat.seat.vm] = ReceivedLoad(load=heartbeat.load, at=now)
 
     def _is_ahead(self, heartbeat: Heartbeat) -> bool:
         return (
--- a/zincwell/core/_submissions.py
+++ b/zincwell/core/_submissions.py
@@ -1,4 +1,4 @@
-"""What callers ask for, from arrival to the whole answer."""
+"""Handling of callers' submissions, from arrival to the final answer."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from zincwell.core._admission import Admission, Refusal
-from zincwell.core._answers import attach_reply_of, not_run, reused, unknown
+from zincwell.core._answers import attach_reply_of, not_run_answer, reused_answer, unknown_answer
 from zincwell.core._dispatch import Dispatcher
 from zincwell.core._jobs import Job, JobBook, digest_of, full_key
 from zincwell.core._membership import Membership, Seat
@@ -45,7 +45,13 @@
 
 
 class Submissions:
-    """Takes callers' work in, owns it or finds its owner, and answers it."""
+    """Accepts submissions, runs those that this entry owns and follows the owners of the others.
+
+    :param seat: seat of this entry.
+    :param ownership: asks the home of a key for a grant.
+    :param book: jobs that this entry owns, and their answers.
+    :param observe_refusal: called with the tenant, the urgency and the reason of each refusal.
+    """
 
     def __init__(
         self,
@@ -75,32 +81,35 @@
     # -- callers -------------------------------------------------------------------------
 
     async def submit(self, submission: Submission) -> Answer:
-        """Run a submission, or find the one that its key stands for; return the answer."""
-        found = await self.accept(submission)
-        if isinstance(found, Err):
-            return found.err_value
-        return await asyncio.shield(found.ok_value)
+        """Run a submission, or join the one that already has its key; return the answer."""
+        accepted = await self.accept(submission)
+        if isinstance(accepted, Err):
+            return accepted.err_value
+        return await asyncio.shield(accepted.ok_value)
 
     async def accept(self, submission: Submission) -> Result[asyncio.Future[Answer], Answer]:
-        """Take a submission in and return its answer to come, or a final answer."""
-        early = self._check_age(submission)
-        if early is not None:
-            return Err(early)
+        """Accept a submission; return a future of its answer, or the final answer if refused."""
+        refusal = self._check_age(submission)
+        if refusal is not None:
+            return Err(refusal)
         never_run = self._can_never_have_run(submission)
         submission = msgspec.structs.replace(submission, never_run=never_run)
         key = full_key(key=submission.key, tenant=submission.tenant)
         job = self._book.jobs_by_key.get(key)
         if job is not None:
-            return self._rejoin(job, submission)
+            return self._join_job(job, submission)
         result = await self._claim_once(key, submission)
         if isinstance(result, Err):
             return result
         if isinstance(result.ok_value, Job):
-            return self._rejoin(result.ok_value, submission)
+            return self._join_job(result.ok_value, submission)
         return Ok(asyncio.ensure_future(self._follow(key, result.ok_value, submission)))
 
     async def request(self, request: Request) -> Answer:
-        """Run a single request; no other entry can know its key, so none is asked."""
+        """Run a single request.
+
+        Its key is generated here, so no other entry can know it and no home is asked.
+        """
         spec = TaskSpec(payload=request.payload, run_ms=request.run_ms, memory_mb=request.memory_mb)
         submission = Submission(
             key=f"{self._seat.domain}/{uuid.uuid4().hex}",
@@ -124,36 +133,39 @@
         return await asyncio.shield(job.answer)
 
     async def poll(self, *, key: str, tenant: str, created_at: float) -> Answer | None:
-        """Return the answer of a submission if it is out, or None while it runs."""
-        name = full_key(key=key, tenant=tenant)
-        job = self._book.jobs_by_key.get(name)
+        """Return the answer of a submission, or None while it runs."""
+        tenant_key = full_key(key=key, tenant=tenant)
+        job = self._book.jobs_by_key.get(tenant_key)
         if job is not None:
             return job.answer.result() if job.is_answered else None
         reply = await self._ownership.acquire(
-            Claim(key=name, created_at=created_at, intent=Intent.LOOK_UP)
+            Claim(key=tenant_key, created_at=created_at, intent=Intent.LOOK_UP)
         )
         if reply.kind is not ClaimKind.OWNED:
-            return unknown(key, reply.reason or "unknown_key", reply.retry_after_ms)
-        return await self._owners.look_up(key, name, reply)
+            return unknown_answer(key, reply.reason or "unknown_key", reply.retry_after_ms)
+        return await self._owners.look_up(key, tenant_key, reply)
 
     async def cancel(self, *, key: str, tenant: str, created_at: float) -> Answer | None:
-        """Cancel a submission; return its answer, or None if it can't be reached now."""
-        name = full_key(key=key, tenant=tenant)
-        job = self._book.jobs_by_key.get(name)
+        """Cancel a submission; return its answer, or None if its owner has none yet."""
+        tenant_key = full_key(key=key, tenant=tenant)
+        job = self._book.jobs_by_key.get(tenant_key)
         if job is not None:
             self._dispatcher.give_up(job, "cancelled")
             return job.answer.result()
         reply = await self._ownership.acquire(
-            Claim(key=name, created_at=created_at, intent=Intent.LOOK_UP)
+            Claim(key=tenant_key, created_at=created_at, intent=Intent.LOOK_UP)
         )
         if reply.kind is not ClaimKind.OWNED:
-            return unknown(key, reply.reason or "unknown_key", reply.retry_after_ms)
-        return await self._owners.cancel(key, name, reply)
+            return unknown_answer(key, reply.reason or "unknown_key", reply.retry_after_ms)
+        return await self._owners.cancel(key, tenant_key, reply)
 
     # -- peers ---------------------------------------------------------------------------
 
     async def attach(self, call: AttachCall) -> AttachReply:
-        """Answer a peer that was told we own a key."""
+        """Answer a peer to which a home named this entry as the owner of a key.
+
+        Waits up to ``call.wait_s`` seconds for the job's answer.
+        """
         if call.owner != self._seat.id:
             return AttachReply(kind=AttachKind.OTHER_RUN)
         claiming = self._claiming_by_key.get(call.key)
@@ -163,8 +175,8 @@
                 return AttachReply(kind=AttachKind.PENDING)
         job = self._book.jobs_by_key.get(call.key)
         if job is None:
-            # Said for good: from now on we refuse to start the key under this grant, so the
-            # home may give it to another.
+            # The reply is final: this entry no longer starts the key under this grant, so the
+            # home may grant the key to another entry.
             self._book.close_serial(call.key, call.serial)
             return AttachReply(kind=AttachKind.NEVER_STARTED)
         if call.digest not in (0, job.digest):
@@ -173,7 +185,7 @@
         return attach_reply_of(job)
 
     def cancel_owned(self, call: CancelCall) -> AttachReply:
-        """Cancel a job that we own for a peer."""
+        """Cancel a job of this entry on behalf of a peer."""
         if call.owner != self._seat.id:
             return AttachReply(kind=AttachKind.OTHER_RUN)
         job = self._book.jobs_by_key.get(call.key)
@@ -183,11 +195,11 @@
         return attach_reply_of(job)
 
     def owned_keys(self) -> list[OwnedKey]:
-        """Return all keys that we own, for a new home."""
+        """Return all keys that this entry owns, for a new home."""
         return [self.owned_key(key) for key in self._book.jobs_by_key]
 
     def owned_key(self, key: str) -> OwnedKey | None:
-        """Return what we own under a key, or None."""
+        """Return the ownership record of a key, or None if this entry doesn't own it."""
         job = self._book.jobs_by_key.get(key)
         if job is None:
             return None
@@ -201,10 +213,10 @@
     # -- owning --------------------------------------------------------------------------
 
     async def _claim_once(self, key: str, submission: Submission) -> Result:
-        """Claim a key; those who bring the same key meanwhile share the result.
+        """Claim a key; concurrent submissions of the same key share the result.
 
-        Runs as a task of its own: a caller that hangs up must not leave the claim undecided
-        for the others, nor a granted job unstarted.
+        The claim runs as a separate task, so that a caller that disconnects can't leave it
+        undecided for the others, or leave a granted job unstarted.
         """
         task = self._claiming_by_key.get(key)
         if task is None:
@@ -242,23 +254,24 @@
         if reply.kind in (ClaimKind.ABSENT, ClaimKind.OWNED):
             return admitted
         if reply.kind is not ClaimKind.GRANTED:
-            return Err(self._explain(submission, reply))
+            return Err(self._answer_ungranted(submission, reply))
         if reply.serial <= self._book.closed_serial(key):
-            return Err(unknown(submission.key, "grant_closed", DRAIN_RETRY_MS))
+            return Err(unknown_answer(submission.key, "grant_closed", DRAIN_RETRY_MS))
         self._start(admitted.ok_value, serial=reply.serial)
         return admitted
 
-    def _explain(self, submission: Submission, reply: ClaimReply) -> Answer:
-        """Say truly what is known of a key that we got no grant for.
+    def _answer_ungranted(self, submission: Submission, reply: ClaimReply) -> Answer:
+        """Return the answer for a key that was not granted to this entry.
 
-        Only a caller none of whose attempts can have run is told that it has not run.
+        The answer is ``not_run`` only if no attempt of the caller can have run, and
+        ``outcome_unknown`` otherwise.
         """
         if submission.never_run and reply.kind not in (ClaimKind.UNKNOWN, ClaimKind.STALE):
-            return not_run(submission.key, reply.reason, reply.retry_after_ms)
-        return unknown(submission.key, reply.reason, reply.retry_after_ms)
+            return not_run_answer(submission.key, reply.reason, reply.retry_after_ms)
+        return unknown_answer(submission.key, reply.reason, reply.retry_after_ms)
 
     def _admit(self, key: str, submission: Submission) -> Result[Job, Answer]:
-        """Make a job of a submission, or an answer that says why it is refused."""
+        """Apply admission control; return the job, or the answer with the reason of the refusal."""
         document = self._dispatcher.document
         pool = self._dispatcher.pool_of(submission.service)
         if document is None:
@@ -271,9 +284,9 @@
             refusal = self._admission.check(job, document=document, pool=pool)
             if refusal is None:
                 return Ok(job)
-        return Err(self._tell_refusal(submission, refusal))
+        return Err(self._report_refusal(submission, refusal))
 
-    def _tell_refusal(self, submission: Submission, refusal: Refusal) -> Answer:
+    def _report_refusal(self, submission: Submission, refusal: Refusal) -> Answer:
         self._observe_refusal(submission.tenant, submission.urgency, refusal.reason)
         log.info(
             "refused",
@@ -308,16 +321,16 @@
         job.answer.add_done_callback(lambda _: self._book.keep(job))
         self._dispatcher.run(job)
 
-    def _rejoin(self, job: Job, submission: Submission) -> Result:
+    def _join_job(self, job: Job, submission: Submission) -> Result:
         if job.digest != digest_of(submission):
-            return Err(reused(submission.key))
+            return Err(reused_answer(submission.key))
         return Ok(job.answer)
 
     def _can_never_have_run(self, submission: Submission) -> bool:
-        """Tell whether an attempt states that the key has never run, and came in good time.
+        """Tell whether this is the caller's first attempt, and it arrived without long delay.
 
-        One that was held up on its way may have been overtaken by a later attempt, which has
-        run since: told "not run" then, the caller would be told an untruth.
+        A delayed attempt may have been overtaken by a later one that has run since, and then
+        the answer ``not_run`` would be false.
         """
         if not submission.never_run and submission.attempt != 1:
             return False
@@ -326,7 +339,10 @@
         return self._clock.wall() - sent_at < longest_s
 
     def _check_age(self, submission: Submission) -> Answer | None:
-        """Refuse a key made in the future, or so long ago that it may have been forgotten."""
+        """Refuse a key created in the future, or before the resubmission window.
+
+        The records of keys are dropped after the window.
+        """
         now = self._clock.wall()
         if submission.created_at > now + self._timing.clock_margin_s:
             return Answer(
@@ -335,11 +351,11 @@
                 detail="created_at is later than this entry's clock - at `$.created_at`",
             )
         if submission.created_at < now - self._timing.resubmission_window_s:
-            return unknown(submission.key, "key_expired", None)
+            return unknown_answer(submission.key, "key_expired", None)
         return None
 
     async def _follow(self, key: str, owned: ClaimReply, submission: Submission) -> Answer:
-        """Wait for another owner's answer, or own the key if that one never started it."""
+        """Wait for the owner's answer; submit the key here if the owner never started it."""
         answer = await self._owners.follow(key, owned, submission)
         if answer is not None:
             return answer
