--- a/proofs/mutations.py
+++ b/proofs/mutations.py
@@ -274,7 +274,7 @@
         "core/_home.py",
         "fresh = claim.created_at > known_since + self._timing.clock_margin_s",
         "fresh = True",
-        "tests/test_ownership.py::test_home_killed_with_the_owner_it_was",
+        "tests/test_ownership.py::test_home_that_was_also_owner_is_killed",
         "tests/test_faults_ownership.py::test_home_that_owned_the_key_is_killed",
     ),
     _mutation(
@@ -321,7 +321,7 @@
         "core/_home.py",
         '        return ClaimReply(kind=ClaimKind.UNKNOWN, reason="home_changed")\n',
         "        return self._decide_new(asker, claim)\n",
-        "tests/test_ownership.py::test_home_killed_with_the_owner_it_was",
+        "tests/test_ownership.py::test_home_that_was_also_owner_is_killed",
     ),
 ]
 
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -1,8 +1,8 @@
-"""Entries without processes: the real homes, seats and submissions over a network kept by hand.
+"""Simulation of entries in one process: real ownership classes over a simulated network.
 
-Each node has the classes that decide who owns a key, as a daemon has them; only the dispatch,
-the admission and the wire are replaced. Messages wait in the network until they are delivered,
-answered late or lost, and time moves only when it is told to.
+Each node has the classes that decide who owns a key, as the daemon has them; only the
+dispatcher, the admission control and the transport are replaced. Messages wait in the network
+until the test delivers, delays or loses them, and the test advances the clock.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 TIMING = TimingSettings(seat_lease_s=1.0, peer_silence_s=3.0, heartbeat_s=0.25, clock_margin_s=0.5)
 REFUSED_CLASS = "refused"
 ADMITTED_CLASS = "admitted"
-SPINS = 12
+LOOP_ROUNDS = 12
 
 
 class ManualClock(Clock):
-    """Clock moved by hand."""
+    """Clock that the test advances."""
 
     def __init__(self) -> None:
         self.now = 1_000.0
@@ -51,7 +51,7 @@
 
 
 class ManualLoop(asyncio.SelectorEventLoop):
-    """Event loop whose time is the manual clock's, and that only runs what is ready."""
+    """Event loop on the manual clock that runs only callbacks that are ready."""
 
     def __init__(self, clock: ManualClock) -> None:
         super().__init__()
@@ -60,13 +60,13 @@
     def time(self) -> float:
         return self._manual_clock.now
 
-    def spin(self, rounds: int = SPINS) -> None:
+    def spin(self, rounds: int = LOOP_ROUNDS) -> None:
         for _ in range(rounds):
             self.call_soon(self.stop)
             self.run_forever()
 
     def end(self) -> None:
-        """Cancel all and close."""
+        """Cancel all tasks and close the loop."""
         for task in asyncio.all_tasks(self):
             task.cancel()
         self.spin(3)
@@ -75,9 +75,11 @@
 
 @dataclass(eq=False)
 class Message:
-    """A call between two nodes on its way, then its reply.
+    """A call in flight between two nodes, and its reply.
 
-    :ivar has_arrived: the reply waits in the socket of a sender that is paused.
+    :ivar is_held: the test delivers the call itself.
+    :ivar handled: task of the receiver that handles the call.
+    :ivar has_arrived: the reply waits in the socket of a paused sender.
     """
 
     sender: Node
@@ -96,7 +98,13 @@
 
 
 class Network:
-    """Messages between nodes."""
+    """Network between the nodes, with faults that the test sets.
+
+    :ivar cut: pairs of nodes that can't reach each other.
+    :ivar off_log: nodes that can't reach the log.
+    :ivar paused: nodes whose process is paused.
+    :ivar holds: whether new messages are held.
+    """
 
     def __init__(self, *, clock: ManualClock, loop: ManualLoop):
         self.clock = clock
@@ -108,13 +116,13 @@
         self.holds = False
 
     def reaches(self, one: str, other: str) -> bool:
-        """Tell whether a message gets through between two nodes now."""
+        """Tell whether two nodes can reach each other now."""
         return not {one, other} & self.paused and frozenset((one, other)) not in self.cut
 
     async def call(
         self, *, sender: Node, url: str, path: str, message: Any, timeout_s: float
     ) -> Any:
-        """Put a message on its way and wait for the reply."""
+        """Send a message and wait for the reply."""
         future = self.loop.create_future()
         parked = Message(
             sender=sender,
@@ -129,7 +137,7 @@
         return await future
 
     def deliver(self, message: Message, receiver: Node | None) -> None:
-        """Let the receiver handle a message; the reply stays on its way."""
+        """Let the receiver handle a message; the reply stays in flight."""
         if message.handled is not None or receiver is None:
             return
         if self.reaches(message.sender.vm, message.to):
@@ -137,7 +145,7 @@
             self.loop.spin()
 
     def give_reply(self, message: Message) -> None:
-        """Bring the reply to the sender, unless something is in the way."""
+        """Deliver the reply to the sender, unless the sender is paused or the link is cut."""
         if not message.is_replied or message.sender.vm in self.paused:
             return
         is_cut = frozenset((message.sender.vm, message.to)) in self.cut
@@ -149,28 +157,28 @@
         self.loop.spin()
 
     def pause(self, vm: str) -> None:
-        """Let the messages of a node wait; replies that are there stay in its socket."""
+        """Pause a node; its messages wait, and replies already sent stay in its socket."""
         self.paused.add(vm)
         for message in self.messages:
             if message.sender.vm == vm and message.is_replied:
                 message.has_arrived = True
 
     def expire(self) -> None:
-        """End the calls whose time is over; a paused sender notices only when it wakes."""
+        """Time out calls past their deadline; those of a paused sender only after it resumes."""
         for message in list(self.messages):
             if message.expires_at < self.clock.now and message.sender.vm not in self.paused:
                 self.lose(message)
         self.loop.spin()
 
     def lose(self, message: Message) -> None:
-        """Break the connection of a call, which may have been handled."""
+        """Break the connection of a call, which may already have been handled."""
         self.messages.remove(message)
         if not message.future.done():
             message.future.set_exception(PeerUnavailableError("no answer"))
 
 
 class NodePeers:
-    """Takes the place of Peers for one node."""
+    """Stands in for ``Peers`` of one node."""
 
     def __init__(self, *, node: Node, network: Network):
         self._node = node
@@ -183,14 +191,14 @@
 
 
 @dataclass(frozen=True)
-class PoolName:
-    """Takes the place of a pool, of which only the name is asked."""
+class PoolStub:
+    """Stands in for a pool, of which only the name is used."""
 
     name: str
 
 
-class Ledger:
-    """Takes the place of the dispatch: notes each start and completes the job."""
+class RecordingDispatcher:
+    """Stands in for the dispatcher: records each start and completes the job."""
 
     document = SimpleNamespace(services={"transcriber": SimpleNamespace(pool="braille")})
 
@@ -198,8 +206,8 @@
         self._node = node
         self._on_start = on_start
 
-    def pool_of(self, service: str) -> PoolName:
-        return PoolName(self.document.services[service].pool)
+    def pool_of(self, service: str) -> PoolStub:
+        return PoolStub(self.document.services[service].pool)
 
     def run(self, job: Job) -> None:
         if not self._node.is_dead:
@@ -209,7 +217,7 @@
 
 
 class OneClassAdmission:
-    """Refuses one class of urgency and admits the rest."""
+    """Stands in for admission control: refuses one class of urgency and admits the rest."""
 
     def check(self, job: Job, **_: Any) -> Refusal | None:
         if not job.urgency.startswith(REFUSED_CLASS):
@@ -218,16 +226,16 @@
 
 
 @dataclass
-class Contact:
-    """Takes the place of a follower: when the log was last reached."""
+class FollowerStub:
+    """Stands in for a follower of the log: holds the time of the last contact."""
 
     contact_at: float = NEVER
 
 
 class Node:
-    """One run of one entry, without its process."""
+    """One run of one entry, without a process."""
 
-    # The handover is driven as the daemon does it.
+    # Handovers run the daemon's own code.
     _recover_from = Entry._recover_from
     _answer_handover = Entry.hand_over
 
@@ -238,7 +246,7 @@
         self.is_dead = False
         self.seat = Seat(vm=vm, incarnation=str(incarnation), domain=domain, url=vm)
         self.membership = Membership()
-        self.contact = Contact()
+        self.contact = FollowerStub()
         self.peers = NodePeers(node=self, network=network)
         self.recovering_by_seat: dict[str, asyncio.Task] = {}
         clock = network.clock
@@ -276,7 +284,7 @@
             ownership=ownership,
             peers=self.peers,
             book=JobBook(clock=clock, timing=TIMING, memory=MemorySettings()),
-            dispatcher=Ledger(node=self, on_start=on_start),
+            dispatcher=RecordingDispatcher(node=self, on_start=on_start),
             admission=OneClassAdmission(),
             clock=clock,
             timing=TIMING,
@@ -287,7 +295,7 @@
         return DOMAINS
 
     async def handle(self, path: str, body: Any) -> Any:
-        """Answer a peer."""
+        """Handle a message from a peer and return the reply."""
         if path == "/peer/claims":
             return [self.home.claim(asker=body.asker, claim=claim) for claim in body.claims]
         if path == "/peer/attach":
@@ -298,7 +306,7 @@
         return self._answer_handover(call)
 
     def recover(self, loop: ManualLoop) -> None:
-        """Ask those that have yet to tell us what they know, one call at a time to each."""
+        """Ask for the pending handovers, with one call at a time to each seat."""
         for seat in self.home.awaited():
             asking = self.recovering_by_seat.get(seat.id)
             if asking is None or asking.done():
@@ -306,7 +314,10 @@
 
 
 class PlatformLog:
-    """Stream of seats; an append may be on its way for any time, whatever became of its sender."""
+    """Log stream of the seats.
+
+    :ivar on_the_way: appends in flight; they may take effect after their sender has died.
+    """
 
     def __init__(self) -> None:
         self.records: list[Record] = []
@@ -319,10 +330,13 @@
 
 @dataclass
 class Caller:
-    """What a caller remembers of a key, and what the judge knows of it.
+    """State of a caller for one key, and what the checks need of it.
 
+    :ivar counts: whether the caller numbers its attempts.
+    :ivar attempts: number of attempts sent.
+    :ivar told_not_run: highest attempt that was answered ``not_run``.
     :ivar started: attempts that were started; the class of urgency carries their number.
-    :ivar waiting: attempts that have been sent and have not arrived anywhere.
+    :ivar waiting: attempts that are sent but have not arrived at an entry.
     """
 
     key: str
--- a/tests/test_decisions_ownership.py
+++ b/tests/test_decisions_ownership.py
@@ -1,4 +1,4 @@
-"""Who may grant keys, decided by real classes in sequences set by hand."""
+"""Which entry may grant keys: fixed sequences of faults against the simulated entries."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def system() -> Iterator[Ownership]:
-    """Entries a, b and c of one domain and d of another, settled."""
+    """Entries a, b and c of one domain and d of another, all seats open."""
     system = Ownership()
     yield system
     system.teardown()
@@ -25,12 +25,12 @@
 
 
 def test_last_entry_of_a_domain_wakes_from_a_pause(system: Ownership):
-    """An entry that is alone in its domain grants nothing on waking until it has the log.
+    """An entry without peers grants nothing after a pause until it reaches the log.
 
-    Symptom: a double start after a VM was suspended. Sequence: two of three entries die; the
-    last is paused; a new one comes, closes the silent seat and grants a key; the paused one
-    wakes with the same key in its socket. Cause: nobody is left whose acknowledgement it needs,
-    and none of none missing counts as all.
+    Guards against a double start after a VM was suspended. Two of three entries die and the
+    last is paused; a new entry closes the silent seat and grants a key; the paused one resumes
+    with the same key in its socket. As far as it knows, no other seat is open, so the check that
+    all other seats have acknowledged it holds for an empty set.
     """
     system.outlive("b", "kill")
     system.outlive("a", "kill")
@@ -47,14 +47,14 @@
     assert_that(starts(system), Equals([1]))
 
 
-def test_closing_that_lands_after_its_author_is_gone(system: Ownership):
-    """An entry whose seat is closed is acknowledged by nobody, whoever closed it.
+def test_close_record_lands_after_its_sender_died(system: Ownership):
+    """No entry acknowledges a closed seat, whichever entry closed it.
 
-    Symptom: two homes of one key, for as long as one of them lacks the log. Sequence: an entry
-    decides to close a seat, and its append is slow; it dies and its own seat is closed; the
-    append lands. The holder of the seat, which has lost the log in between, needs only the
-    third entry's acknowledgements. Cause: only who closes a seat remembers not to acknowledge
-    it; to the others a closed seat looks like one not yet heard of.
+    Guards against two homes of one key while one of them can't reach the log. An entry appends
+    the close record of a seat, and the append is slow; the entry dies and its own seat is
+    closed; then the record takes effect. The holder of the seat, which has lost the log in the
+    meantime, needs only the third entry's acknowledgements. The third entry didn't decide the
+    closing itself, so it must refuse to acknowledge a seat that isn't open in its membership.
     """
     system.network.cut.add(frozenset("ac"))
     for _ in range(15):
--- a/tests/test_faults_ownership.py
+++ b/tests/test_faults_ownership.py
@@ -1,4 +1,4 @@
-"""Homes that change while keys are in use."""
+"""Changes of a key's home while the key is in use."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 async def test_entry_that_joins_learns_what_was_granted(cluster: Cluster):
     """A resend finds its answer after another entry has joined and become home to the key.
 
-    Symptom: a page is embossed twice after a VM was added. Sequence: a job runs; an entry
-    joins its domain and becomes home to its key; the caller sends the key again. Cause: what
-    the earlier home and the owner hand over to the new home lacks the key.
+    Guards against a double start after a VM was added: a job runs, an entry joins its domain
+    and becomes home to its key, and the caller sends the key again. The key must be in what the
+    previous home and the owner hand over to the new home.
     """
     await cluster.open(domains={"kariakoo": (2, 2)})
     owner, other = cluster.entry_by_vm.values()
@@ -38,7 +38,10 @@
 
 
 def clock_margin_passed() -> Callable[[], Awaitable[bool]]:
-    """Return a condition that holds once keys are surely newer than what started before."""
+    """Return a condition that holds once twice the clock margin has passed from now on.
+
+    Keys created then count as newer than the homes that exist now.
+    """
     until = time.monotonic() + 2 * TimingSettings().clock_margin_s
 
     async def passed() -> bool:
@@ -56,10 +59,10 @@
 async def test_first_attempt_overtaken_by_the_second(cluster: Cluster):
     """A first attempt that arrives after the second and a change of homes starts nothing.
 
-    Symptom: a page is embossed twice. Sequence: the first attempt is held up on its way; the
-    second runs at the entry that is home to the key; that entry dies and another becomes home;
-    the first attempt arrives there. Cause: a first attempt is taken as proof that the key was
-    never sent before, but it only says that none was sent before it.
+    Guards against a double start by a delayed message. The first attempt is delayed; the second
+    runs at the entry that is home to the key; that entry dies and another becomes home; the
+    first attempt arrives there. Its number shows only that no attempt was sent before it, not
+    that none has run.
     """
     await cluster.open(domains={"kariakoo": (3, 2)})
     key = key_at(cluster, domain="kariakoo", home="entry-2")
@@ -82,10 +85,9 @@
 async def test_home_that_owned_the_key_is_killed(cluster: Cluster):
     """A key is not granted anew when its home, which ran it itself, is killed.
 
-    Symptom: a page is embossed twice after a VM died. Sequence: a home grants a key to itself
-    and runs it; it is killed; the caller sends the key again and the next home grants it.
-    Cause: what the home handed over long before, when the entries started, is taken for all
-    that it ever granted.
+    Guards against a double start after a VM died: a home grants a key to itself, runs it and
+    is killed, and the caller sends the key again. The new home must not treat the handover of
+    the dead home from when the entries started as complete for later grants.
     """
     await cluster.open(domains={"kariakoo": (3, 2)})
     key = key_at(cluster, domain="kariakoo", home="entry-2")
@@ -103,12 +105,12 @@
 
 
 async def test_owner_restarted_at_the_same_address(cluster: Cluster):
-    """An entry that was restarted says nothing of what its earlier run has started.
+    """A restarted entry does not answer for jobs of its earlier run.
 
-    Symptom: a page is embossed twice after an entry was restarted. Sequence: an entry runs a
-    job and is killed; it starts again at the same address; the caller sends the key to another
-    entry, which asks that address what became of it and hears that it never started. Cause:
-    the question names the key but not the run of the entry that owned it.
+    Guards against a double start after a restart. An entry runs a job, is killed and starts
+    again at the same address; the caller sends the key to another entry, which asks that address
+    for the answer. The call must name the run (incarnation) that owned the key, or the new run
+    would reply that the key never started.
     """
     await cluster.open(domains={"kariakoo": (2, 2)})
     owner, other = cluster.entry_by_vm.values()
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""At most one start of each task, whatever happens to owners, homes and links."""
+"""At most one start of each task under failures of owners, homes and links."""
 
 from __future__ import annotations
 
@@ -15,16 +15,15 @@
 THREE_ENTRIES = {"kariakoo": (3, 2)}
 TWO_DOMAINS = {"kariakoo": (2, 2), "ubungo": (2, 2)}
 
-#: Matches a count of starts by task in which none started twice.
+#: Matches counts of starts by task in which no task started twice.
 AT_MOST_ONCE = AfterPreprocessing(lambda starts: starts.values(), AllMatch(LessThan(2)))
 
 
 async def test_owner_killed_mid_job_then_resent(cluster: Cluster):
-    """The answer to a resend is honest after its owner died.
+    """A resend after the owner died gets an unknown outcome and starts nothing.
 
-    Symptom: a page is embossed twice. Sequence: an entry runs a job and is killed; the caller
-    resends the key to another entry, which runs it again. Cause: what the dead entry had
-    started is known to nobody else.
+    Guards against a double start: an entry runs a job and is killed, and the caller resends the
+    key to another entry. No other entry knows which tasks the dead one had started.
     """
     await cluster.open(domains=ONE_DOMAIN)
     owner = cluster.entry_by_vm["entry-0"]
@@ -45,9 +44,9 @@
 async def test_home_killed_mid_job_then_resent(cluster: Cluster):
     """A resend finds its running job although the home that granted it is dead.
 
-    Symptom: a page is embossed twice. Sequence: the home grants a key and is killed; another
-    entry becomes home, knows no grant, and grants the key again. Cause: a home keeps its
-    grants in memory only.
+    Guards against a double start: the home grants a key and is killed, and another entry
+    becomes home. A home keeps its grants in memory only, so the new home must learn of the
+    grant from the owner.
     """
     await cluster.open(domains=THREE_ENTRIES)
     key = key_at(cluster, domain="kariakoo", home="entry-2")
@@ -67,11 +66,11 @@
 
 
 async def test_home_paused_past_its_lease_grants_nothing_on_waking(cluster: Cluster):
-    """A home that was replaced while paused does not grant its old keys on waking.
+    """A home that was replaced while paused does not grant its old keys after resuming.
 
-    Symptom: a bulletin item airs twice. Sequence: the home is paused; its seat is closed and
-    another entry grants the key; the first wakes with a claim of the same key in its socket
-    and grants it too. Cause: a paused process does not notice that time has passed.
+    Guards against a double start: the home is paused, its seat is closed and another entry
+    grants the key; the first home resumes with a claim of the same key in its socket. A paused
+    process does not notice that time has passed, so it must check its lease for each grant.
     """
     await cluster.open(domains=THREE_ENTRIES)
     home = cluster.entry_by_vm["entry-2"]
@@ -99,8 +98,9 @@
 async def test_cut_domain_serves_its_own_and_refuses_truly(cluster: Cluster):
     """Both sides of a cut serve their own keys, and no key starts on both.
 
-    Symptom: a job runs in both halves of a partition. Sequence: two domains lose each other;
-    the same key is sent on both sides. Cause: neither side knows what the other has granted.
+    Guards against a job that runs on both sides of a partition: two domains are cut from each
+    other and the same key is sent on both sides. Neither side knows what the other has granted,
+    so only the side of the key's domain may grant it.
     """
     await cluster.open(domains=TWO_DOMAINS)
     kariakoo = next(e for e in cluster.entry_by_vm.values() if e.domain == "kariakoo")
@@ -123,11 +123,11 @@
 
 
 async def test_first_attempt_in_a_cut_is_truly_not_run(cluster: Cluster):
-    """An entry that can't reach a key's home says so, and nothing has run.
+    """An entry that can't reach a key's home answers ``not_run``, and nothing has run.
 
-    Symptom: the caller is left waiting, or is told "not run" of a job that has run. Sequence:
-    a key of a domain that is cut off is sent for the first time. Cause: its home can't be
-    asked, and only the home may let it start.
+    Guards against a caller that is left waiting, or gets ``not_run`` for a job that has run: a
+    key of a domain that is cut off is sent for the first time. Its home can't be reached, and
+    only the home may grant it.
     """
     await cluster.open(domains=TWO_DOMAINS)
     ubungo = next(e for e in cluster.entry_by_vm.values() if e.domain == "ubungo")
@@ -143,8 +143,8 @@
 async def test_same_key_at_all_entries_at_once(cluster: Cluster):
     """A key sent to every entry at the same moment starts once and answers all.
 
-    Symptom: a double start when a caller hedges. Sequence: the same submission reaches four
-    entries within a millisecond. Cause: each of them believes that it is the first.
+    Guards against a double start of hedged requests: the same submission reaches four entries
+    within a millisecond, and none of them knows of the others.
     """
     await cluster.open(domains=TWO_DOMAINS)
     await cluster.outlast_clock_margin()
@@ -161,8 +161,8 @@
 async def test_key_reused_for_other_work_is_refused(cluster: Cluster):
     """Two callers that pick the same key do not get each other's answer.
 
-    Symptom: a teacher receives another pupil's page. Sequence: the same key comes with other
-    tasks, at the owner and at another entry. Cause: the key alone does not tell them apart.
+    Guards against an answer that reaches the wrong caller: the same key arrives with other
+    tasks, at the owner and at another entry. The digest of the submission tells them apart.
     """
     await cluster.open(domains=ONE_DOMAIN)
     owner, other = cluster.entry_by_vm.values()
@@ -180,13 +180,12 @@
     return vm not in (await cluster.status(entry))["seats"]
 
 
-async def test_home_killed_with_the_owner_it_was(cluster: Cluster):
-    """A key whose home and owner died together is not granted anew by the next home.
+async def test_home_that_was_also_owner_is_killed(cluster: Cluster):
+    """A key whose home was also its owner and died is not granted again by the next home.
 
-    Symptom: a page is embossed twice (seen in a load run with an entry killed: four double
-    starts). Sequence: an entry starts and hands over what it knows; later it is home and owner
-    of a job and is killed; its successor grants the key again. Cause: the successor took the
-    early handover for knowledge of all that the dead home had granted since.
+    Guards against a double start, which showed four times under load with one entry killed. An
+    entry starts and hands over its keys; later it is home and owner of a job and is killed. The
+    new home must not treat the early handover as complete for what the dead home granted later.
     """
     await cluster.open(domains=ONE_DOMAIN)
     await cluster.outlast_clock_margin()
--- a/tests/test_ownership_property.py
+++ b/tests/test_ownership_property.py
@@ -1,11 +1,14 @@
-"""Claims, take-overs and faults in random order: no key ever starts twice.
-
-Drives the real homes, seats, folds, askers and owners of four entries in two domains through
-random orders of messages, each delivered whenever it comes, lost or late, with cuts, crashes,
-pauses and slow appends (a paused entry is one whose messages wait). Starts are counted by key;
-the count is the judge. Each rule of several steps is the beginning of a way to a double start;
-what follows, when and on which side, is random. ``python -m proofs.red`` shows that the test
-fails when a mechanism is taken out.
+"""Stateful property test of ownership: claims, handovers and faults in random order.
+
+Runs the real homes, seats, memberships, askers and owners of four entries in two domains.
+Messages are delivered, delayed or lost in random order, with partitions, crashes, pauses and
+slow appends to the log (a paused entry is one whose messages wait). The properties checked are
+that no key starts twice and that ``not_run`` is only answered when it is true. Each rule of
+several steps begins a known way to a double start; what follows, when and on which side, is
+random. ``python -m proofs.red`` shows that the test fails when a mechanism is removed.
+
+Hypothesis derives its random seed from the source of ``Ownership`` without comments, so any
+other change to the class changes the sequences that are tried.
 """
 
 from __future__ import annotations
@@ -327,7 +330,7 @@
         if not is_held:
             self._deliver_all()
 
-    # -- beginnings of a double start ----------------------------------------------------
+    # -- sequences that may lead to a double start ---------------------------------------
 
     @rule(home=NEAR_ENTRIES, other=NEAR_ENTRIES, way=WAYS, wait_s=WAITS)
     def contest(self, home: str, other: str, way: str, wait_s: float) -> None:
@@ -427,7 +430,7 @@
         self.network.lose(self.network.messages[index % len(self.network.messages)])
         self.loop.spin()
 
-    # -- the judge -----------------------------------------------------------------------
+    # -- checked properties --------------------------------------------------------------
 
     @invariant()
     def no_key_starts_twice(self) -> None:
--- a/tests/test_take_over.py
+++ b/tests/test_take_over.py
@@ -1,4 +1,4 @@
-"""Entries that join, leave, die or come back, and what the others make of it."""
+"""Effects on the other entries when one joins, leaves, dies or comes back."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 async def test_entry_that_joins_knows_what_the_home_before_it_granted(cluster: Cluster):
     """A resend finds its running job although its key's home has moved to a new entry.
 
-    Symptom: a page is embossed twice after an entry was added. Sequence: entry-1 as home
-    grants a key to entry-0; entry-2 joins and becomes home of the key; the caller resends
-    through entry-1. Cause: the handover compares seats with their offset in the log, which
-    the asker's own seat does not carry, so no key is ever handed over.
+    Guards against a double start after an entry was added: entry-1 as home grants a key to
+    entry-0, entry-2 joins and becomes home of the key, and the caller resends through entry-1.
+    The handover must compare seats by id: the asker's own seat lacks the log offset, and a
+    comparison with the offset would hand over no key at all.
     """
     cluster.timing = {"clock_margin_s": 0.01}
     await cluster.open(domains={"kariakoo": (2, 2)})
@@ -53,13 +53,12 @@
 
 
 async def test_client_that_rejoins_by_key_starts_nothing_twice(cluster: Cluster):
-    """A caller that comes back with its key never has a task started twice.
+    """A caller that submits its key again never has a task started twice.
 
-    Symptom: a page is embossed twice. Sequence: an entry that is owner and home of a key runs
-    a job and is killed; its successor opens; the caller's new process submits again with the
-    same key. Cause: a client that states a new created_at, later than the take-over, makes the
-    new home take the key for one that the dead entry can't have granted; so a key goes with
-    the time at which it was made.
+    An entry that is both owner and home of a key runs a job and is killed; another entry becomes
+    home; a new process of the caller submits the same key. If the client sent a new created_at,
+    later than the change of homes, the new home would conclude that the dead entry can't have
+    granted the key. So a key always goes with the time at which it was created.
     """
     cluster.timing = {"clock_margin_s": 0.01}
     await cluster.open(domains={"kariakoo": (2, 2)})
@@ -69,8 +68,8 @@
         for key in (f"kariakoo/page-{n}" for n in range(1_000))
         if _home(key, ["entry-0", "entry-1"]) == "entry-0"
     )
-    # A key made before its home knew all earlier grants, or within the margin after, is answered
-    # with an unknown outcome. The home may have come to know them in the last moment of settling.
+    # A key created before its home knew all earlier grants, or within the clock margin after, gets
+    # an unknown outcome. The home's knowledge may have become complete only at the end of settling.
     await cluster.outlast_clock_margin()
     job_key = JobKey(key=key, created_at=time.time())
     payloads = [{"sleep_ms": 100, "echo": n} for n in range(4)]
@@ -90,9 +89,9 @@
 async def test_queue_of_a_dead_entry_does_not_count_against_a_quota(cluster: Cluster):
     """A tenant is served again once an entry that held its queue is gone.
 
-    Symptom: a tenant with a quota is refused for ever after an entry died. Sequence: entry-1
-    queues nearly the whole quota and is killed; the tenant asks entry-0. Cause: what a peer
-    last told of its use is kept and counted for good.
+    Guards against a tenant that is refused for ever after an entry died: entry-1 queues the
+    whole quota and is killed, and the tenant submits to entry-0. The last load that a dead peer
+    reported must expire.
     """
     await cluster.open(
         domains={"kariakoo": (2, 1)}, slots=2, tenants={"school": {"max_queued": 12}}
@@ -118,11 +117,11 @@
 
 
 async def test_drain_waits_for_jobs_that_no_caller_of_its_own_waits_for(cluster: Cluster):
-    """A graceful shutdown also ends jobs that were taken in without waiting.
+    """A graceful shutdown also completes jobs that were accepted without waiting.
 
-    Symptom: a job accepted with 202 has an unknown outcome after a roll-out. Sequence: an
-    entry takes a job with ``wait=0``; the caller waits for it at another entry; the owner gets
-    SIGTERM. Cause: draining waits for open requests of callers, not for the jobs it owns.
+    Guards against a job that is accepted with 202 and gets an unknown outcome in a roll-out: an
+    entry accepts a job with ``wait=0``, the caller waits for it at another entry, and the owner
+    gets SIGTERM. Draining must wait for the entry's jobs, not only for its open requests.
     """
     await cluster.open(domains={"kariakoo": (2, 2)})
     leaving, staying = cluster.entry_by_vm.values()
@@ -138,12 +137,12 @@
 
 
 async def test_entry_that_was_paused_keeps_its_homes_in_a_log_outage(cluster: Cluster):
-    """An entry whose seat was closed in a pause is a full peer again after it.
+    """An entry whose seat was closed during a pause is a full peer again after it.
 
-    Symptom: in an outage of the log, all keys of one home are refused although its domain is
-    whole. Sequence: an entry is paused, its peer closes its seat, it wakes and opens its seat
-    again; later the log goes down. Cause: it opens the same seat again, and a peer never
-    again acknowledges a seat that it has begun to close.
+    Guards against a home that refuses all its keys in an outage of the log although its domain
+    is connected. An entry is paused, its peer closes its seat, the entry resumes and reopens the
+    same seat, and later the log goes down. A peer that doesn't acknowledge a seat that it has
+    begun to close must acknowledge it again once it is reopened.
     """
     await cluster.open(domains={"kariakoo": (2, 2)})
     paused, other = cluster.entry_by_vm.values()
