--- a/proofs/mutations.py
+++ b/proofs/mutations.py
@@ -73,7 +73,7 @@
     _ownership(
         "always-fresh",
         "core/_home.py",
-        "fresh = claim.created_at > home_since + self._timing.clock_margin_s",
+        "fresh = claim.created_at > known_since + self._timing.clock_margin_s",
         "fresh = True",
     ),
     _ownership(
@@ -85,11 +85,14 @@
     _ownership(
         "closing-acknowledged",
         "core/_seat.py",
-        "return self._closing_by_id.get(seat.id) != current.opened",
+        "return self._closing_offset_by_id.get(seat.id) != current.opened",
         "return True",
     ),
     _ownership(
-        "no-wait-after-abrupt-close", "core/_home.py", "ABRUPT_LEASES = 2", "ABRUPT_LEASES = 0"
+        "no-wait-after-abrupt-close",
+        "core/_home.py",
+        "ABRUPT_CLOSE_WAIT_LEASES = 2",
+        "ABRUPT_CLOSE_WAIT_LEASES = 0",
     ),
     _ownership(
         "refusals-forgotten",
@@ -254,8 +257,8 @@
     _mutation(
         "nothing-handed-over",
         "core/_home.py",
-        "return [key for key in known.values() if _is_home(seat, key.key, seats)]",
-        "return []",
+        "            for key in known.values()\n",
+        "            for key in []\n",
         "tests/test_take_over.py::test_entry_that_joins_knows_what_the_home_before_it_granted",
         "tests/test_faults_ownership.py::test_entry_that_joins_learns_what_was_granted",
     ),
@@ -269,9 +272,9 @@
     _mutation(
         "keys-always-fresh",
         "core/_home.py",
-        "fresh = claim.created_at > home_since + self._timing.clock_margin_s",
+        "fresh = claim.created_at > known_since + self._timing.clock_margin_s",
         "fresh = True",
-        "tests/test_ownership.py::test_home_killed_with_the_owner_it_was",
+        "tests/test_ownership.py::test_home_that_was_also_owner_is_killed",
         "tests/test_faults_ownership.py::test_home_that_owned_the_key_is_killed",
     ),
     _mutation(
@@ -318,7 +321,7 @@
         "core/_home.py",
         '        return ClaimReply(kind=ClaimKind.UNKNOWN, reason="home_changed")\n',
         "        return self._decide_new(asker, claim)\n",
-        "tests/test_ownership.py::test_home_killed_with_the_owner_it_was",
+        "tests/test_ownership.py::test_home_that_was_also_owner_is_killed",
     ),
 ]
 
