--- a/tests/browser.py
+++ b/tests/browser.py
@@ -1,4 +1,4 @@
-"""An HTTP client that does with the console's pages what a browser does."""
+"""HTTP client for tests of the console that handles pages as a browser does."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.lone import TOKEN
 
 
-class Form(HTMLParser):
-    """Reads a page: fields by the form's action, the text and what is told as wrong."""
+class PageParser(HTMLParser):
+    """Parser of a page: form fields by the form's action, tags and error messages."""
 
     def __init__(self, html: str):
         super().__init__()
@@ -20,7 +20,7 @@
         self._action = ""
         self._name = ""
         self._in_error = False
-        self._in_text = ""
+        self._text_tag = ""
         self.feed(html)
 
     def handle_starttag(self, tag: str, attributes: list[tuple[str, str | None]]) -> None:
@@ -34,25 +34,25 @@
             fields[given["name"]] = given.get("value") or ""
         elif tag in ("select", "textarea"):
             self._name = given["name"]
-            self._in_text = tag
+            self._text_tag = tag
             fields[self._name] = ""
         elif tag == "option" and "selected" in given:
-            self._in_text = "option"
+            self._text_tag = "option"
 
     def handle_endtag(self, tag: str) -> None:
         self._in_error = False
         if tag in ("option", "textarea"):
-            self._in_text = ""
+            self._text_tag = ""
 
     def handle_data(self, data: str) -> None:
         if self._in_error and data.strip():
             self.errors.append(data.strip())
-        if self._in_text in ("option", "textarea"):
+        if self._text_tag in ("option", "textarea"):
             self.fields_by_action[self._action][self._name] += data
 
 
-class Page(Form):
-    """One answer."""
+class Page(PageParser):
+    """A response with its parsed page."""
 
     def __init__(self, *, status: int, headers: dict, text: str, url: str):
         self.status, self.headers, self.text, self.url = status, headers, text, url
@@ -63,7 +63,7 @@
 
 
 class Browser:
-    """Keeps cookies, follows redirects and posts forms."""
+    """Client that keeps cookies, follows redirects and posts forms."""
 
     def __init__(self, *, url: str, session: aiohttp.ClientSession):
         self.url, self.session = url, session
@@ -84,7 +84,7 @@
         return await self.get(f"/console/edit?section={section}")
 
     async def review(self, shown: Page, **changes: str) -> Page:
-        """Type into the form that is shown and press the button for the review."""
+        """Fill in the form that is shown and press its review button."""
         return await self.post("edit", shown.fields("edit"), action="review", **changes)
 
     async def _page(self, response: aiohttp.ClientResponse) -> Page:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface: limits, malformed input, poll, cancel, the client library."""
+"""Callers' interface: limits, malformed input, polling, cancellation and the client library."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from zincwell.models import decode_request, decode_submission
 
 ONE_DOMAIN = {"kariakoo": (2, 2)}
-DEEP = 100_000
+NESTING_DEPTH = 100_000
 
 MALFORMED = {
     "not JSON": (b"{", "truncated"),
@@ -49,8 +49,8 @@
     ),
     "deeply nested": (
         b'{"key":"k","created_at":1,"tenant":"a","service":"b","tasks":[{"payload":'
-        + b"[" * DEEP
-        + b"]" * DEEP
+        + b"[" * NESTING_DEPTH
+        + b"]" * NESTING_DEPTH
         + b"}]}",
         "nested too deeply",
     ),
@@ -107,7 +107,7 @@
 
 
 async def test_poll_and_cancel_at_any_entry(cluster: Cluster):
-    """A submission that was not waited for is polled and cancelled at another entry."""
+    """A submission sent with ``wait=0`` can be polled and cancelled at another entry."""
     await cluster.open(domains=ONE_DOMAIN)
     one, other = cluster.entry_by_vm.values()
     quick = make_submission(key="kariakoo/quick", sleep_ms=100)
@@ -120,7 +120,7 @@
     async def is_done() -> bool:
         return (await cluster.get(base + "quick"))["outcome"] == "completed"
 
-    await cluster.wait_for("quick done", _keyed(is_done))
+    await cluster.wait_for("quick done", _false_on_key_error(is_done))
     polled = await cluster.get(base + "quick")
     running = await cluster.get(base + "long")
     async with cluster.session.delete(base + "long") as response:
@@ -137,8 +137,8 @@
     assert_that(len(started), LessThan(17))
 
 
-async def test_refusal_names_a_time_to_come_back(cluster: Cluster):
-    """A refusal is answered at once, with Retry-After in both forms."""
+async def test_refusal_has_retry_after(cluster: Cluster):
+    """A refused submission is answered at once, with Retry-After and ``retry_after_ms``."""
     await cluster.open(domains={"kariakoo": (1, 1)}, pools={"braille": {"queue_target_ms": 1}})
     entry = cluster.entry_by_vm["entry-0"]
     sending = asyncio.ensure_future(
@@ -161,7 +161,7 @@
 
 
 async def test_client_resubmits_past_a_killed_entry(cluster: Cluster):
-    """The client library sends on to another entry when one is dead, under the same key."""
+    """The client library resubmits to another entry under the same key if one is dead."""
     await cluster.open(domains=ONE_DOMAIN)
     dead, alive = cluster.entry_by_vm.values()
     urls = [entry.callers for entry in cluster.entry_by_vm.values()]
@@ -195,8 +195,8 @@
     assert_that(len(await cluster.ledger()), Equals(2))
 
 
-def _keyed(condition):
-    """Treat an answer without an outcome as not yet."""
+def _false_on_key_error(condition):
+    """Wrap a condition so that an answer without an outcome counts as false."""
 
     async def checked() -> bool:
         try:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console's forms: editing, reviewing, publishing, lost races."""
+"""Forms of the console: editing, reviewing, publishing and concurrent changes."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 async def test_draft_goes_through_all_sections(lone: LoneEntry, browser: Browser):
-    """What is typed on one page is still there after the others, and one change publishes all."""
+    """Values typed in several sections stay in the draft and are published as one change."""
     page = await browser.open_section("pools")
     page = await browser.post(
         "edit",
@@ -98,13 +98,13 @@
 
 
 @pytest.mark.parametrize("typed", ["soon", "-1", "0", "1.5", "9" * 400, "1e400", SCRIPT, '"'])
-async def test_error_stands_at_its_field_and_what_was_typed_stays(
+async def test_error_is_shown_at_its_field_and_typed_text_is_kept(
     lone: LoneEntry, browser: Browser, typed: str
 ):
-    """A value that is not allowed is kept as typed, also on the way through other sections.
+    """An invalid value is kept as typed, also while other sections are shown.
 
-    Symptom: an operator has to type a page anew. Cause: the form is filled from the document,
-    which can't hold what is not allowed.
+    Failure: the operator has to type the whole section again. The form is filled from a document
+    that can't hold invalid values.
     """
     shown = await browser.open_section("pools")
     faulty = await browser.review(shown, **{TARGET: typed})
@@ -131,7 +131,7 @@
     assert_that((mended.status, mended.errors), Equals((200, [])))
 
 
-async def test_service_of_a_removed_pool_is_told(browser: Browser):
+async def test_service_of_a_removed_pool_is_reported(browser: Browser):
     page = await browser.open_section("pools")
     page = await browser.post("edit", page.fields("edit"), action="remove:braille")
     faulty = await browser.review(page)
@@ -155,11 +155,10 @@
 
 
 async def test_lost_race_and_rebase(lone: LoneEntry, browser: Browser):
-    """A lost race shows what came in between; the draft goes onto the new version.
+    """A rejected draft shows the changes published after its base and can be rebased.
 
-    Symptom: an operator's page is lost, or overwrites a colleague's change unseen. Sequence:
-    both begin at the same version; the colleague publishes while this one types. Cause: the
-    form knows its own values only.
+    Failure: the operator's draft is lost, or silently overwrites a colleague's change. Both start
+    from the same version, the colleague publishes first, and the form knows only its own values.
     """
     review = await browser.review(await browser.open_section("tenants"), **{WEIGHT: "4.5"})
     await lone.publish({"tenants": {"radio": {"weight": 3.0}}}, change_id="theirs")
@@ -182,10 +181,10 @@
 async def test_entry_behind_the_draft_offers_no_rebase(
     browser: Browser, monkeypatch: pytest.MonkeyPatch
 ):
-    """A draft is never put onto a version older than its own.
+    """A draft is never rebased onto a version older than its base.
 
-    Symptom: a published change is undone. Sequence: the balancer sends the draft of a new
-    version to an entry that has not read it. Cause: "another version" is taken for "newer".
+    Failure: a published change is undone. The load balancer sends a draft to an entry that has
+    not read the draft's base yet, and the entry takes any different version for a newer one.
     """
     monkeypatch.setattr("zincwell.core._publishing.VERDICT_WAIT_S", 0.1)
     fields = (await browser.open_section("tenants")).fields("edit")
@@ -212,7 +211,7 @@
     assert_that(review.fields_by_action, ContainsAll(["/console/rebase", "/console/edit"]))
 
 
-async def test_rebase_tells_what_both_have_changed(lone: LoneEntry, browser: Browser):
+async def test_rebase_shows_conflicting_changes(lone: LoneEntry, browser: Browser):
     review = await browser.review(await browser.open_section("tenants"), **{WEIGHT: "4.5"})
     await lone.publish({"tenants": {"school": {"weight": 9.0}}}, change_id="theirs")
 
@@ -224,10 +223,10 @@
 
 
 async def test_rebase_onto_a_removal_shows_the_fault(lone: LoneEntry, browser: Browser):
-    """A field of a service that others removed comes back to the form, not into force.
+    """A changed field of a service that others removed is shown as a fault, not published.
 
-    Symptom: half a service is published. Sequence: one edits a service's field, another
-    removes the service. Cause: merging puts the one field back without the rest.
+    Failure: a service with missing fields is published. One operator edits a field of a service,
+    another removes the service, and the merge restores that field without the others.
     """
     run_ms = "field/services/labels/run_ms"
     await lone.publish({"services": {"labels": {"pool": "braille"}}}, change_id="labels")
@@ -246,11 +245,11 @@
 async def test_log_outage_keeps_the_draft_and_publishing_again_counts_once(
     lone: LoneEntry, browser: Browser, monkeypatch: pytest.MonkeyPatch
 ):
-    """A change whose verdict is not known is published again as the same change.
+    """Publishing a draft again after an unknown verdict is the same change.
 
-    Symptom: an operator's second press undoes a change made in between. Sequence: the log
-    takes the change and does not answer; another changes the same field; the form is sent
-    again. Cause: each press is a change of its own.
+    Failure: the second attempt undoes a change published after the first. The log stores the
+    change but does not answer, another operator changes the same field, and the form is sent
+    again as a change with a new id.
     """
     monkeypatch.setattr("zincwell.core._publishing.VERDICT_WAIT_S", 0.2)
     monkeypatch.setattr("zincwell.adapters._platform.CALL_TIMEOUT_S", 0.5)
@@ -286,7 +285,9 @@
 
 
 @pytest.mark.parametrize("document", ['{"services":7}', '{"pools":{"a":7}}', '{"tenants":null}'])
-async def test_draft_of_nonsense_is_shown_with_its_faults(browser: Browser, document: str):
+async def test_draft_with_values_of_wrong_types_is_shown_with_its_faults(
+    browser: Browser, document: str
+):
     fields = (await browser.open_section("tenants")).fields("edit")
     draft = f'{{"base":0,"before":{{}},"document":{document}}}'
     for path in ("edit", "publish"):
--- a/tests/test_console_access.py
+++ b/tests/test_console_access.py
@@ -1,4 +1,4 @@
-"""Who gets into the console, and what a page of someone else's can't do."""
+"""Access to the console: sign-in, sessions, CSRF and cross-site requests."""
 
 from __future__ import annotations
 
@@ -53,15 +53,15 @@
 
 
 async def test_form_without_its_token_is_refused(lone: LoneEntry, browser: Browser):
-    """A form that this session was not given changes nothing.
+    """A form without the CSRF token of the session changes nothing.
 
-    Symptom: a change that its operator does not know of. Sequence: a signed-in operator opens
-    a page of someone else's, which posts to the console. Cause: the browser adds the cookie.
+    Failure: a change is published that the operator does not know of. A signed-in operator opens
+    a page of another site that posts to the console, and the browser adds the cookie.
     """
     review = await browser.review(await browser.open_section("tenants"), **{WEIGHT: "4.5"})
     fields = review.fields("publish")
     other = Sessions(token=TOKEN, clock=lone.entry.clock)
-    for csrf in ("", "wrong", other.make_form_token(other.begin("juma"))):
+    for csrf in ("", "wrong", other.make_form_token(other.start_session("juma"))):
         for path in ("edit", "publish", "rebase", "sign-out"):
             refused = await browser.post(path, fields, csrf=csrf)
             assert_that(refused.status, Equals(403))
@@ -82,7 +82,7 @@
 async def test_session_of_one_entry_is_good_at_another(
     lone: LoneEntry, browser: Browser, tmp_path: Path
 ):
-    """The balancer may send each call to another entry, and entries keep nothing."""
+    """The load balancer may send each request to another entry; entries store no sessions."""
     shown = await browser.open_section("tenants")
     async with open_lone_entry(operator_token_file=str(tmp_path / "token.txt")) as other:
         elsewhere = Browser(url=other.url, session=browser.session)
@@ -130,11 +130,11 @@
 
 
 async def test_without_a_token_pages_of_other_sites_are_refused():
-    """On a loopback address without a token, only the machine's own user gets in.
+    """Without a token, a listener on a loopback address rejects cross-site requests.
 
-    Symptom: a change that nobody made. Sequence: the user's browser shows a stranger's page,
-    which posts to the loopback address, or has its own name resolved to it. Cause: whoever
-    comes from the machine itself is trusted.
+    Failure: a change is published that no operator made. A page of another site in a local
+    browser posts to the loopback address, or uses DNS rebinding to reach it, and the listener
+    trusts every local connection.
     """
     async with open_lone_entry() as lone, aiohttp.ClientSession() as session:
         port = lone.url.rpartition(":")[2]
@@ -157,7 +157,7 @@
 
 
 class FixedClock(Clock):
-    """A clock that stands where it was put."""
+    """Clock that returns a fixed time until it is changed."""
 
     def __init__(self, *, now: float):
         self.now = now
@@ -169,10 +169,10 @@
         return self.now
 
 
-def test_cookie_ends_and_can_not_be_made_up():
+def test_cookie_expires_and_can_not_be_forged():
     clock = FixedClock(now=1_000_000.0)
     sessions = Sessions(token=TOKEN, clock=clock)
-    session = sessions.begin("juma")
+    session = sessions.start_session("juma")
     cookie = sessions.make_cookie(session)
     name, nonce, expires, signature = cookie.split("~")
     forged = [
--- a/tests/test_operators_guide.py
+++ b/tests/test_operators_guide.py
@@ -1,4 +1,4 @@
-"""The operators' guide names every reason that the code can give."""
+"""The operators' guide lists every reason that the code can return."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 ROOT = Path(__file__).parents[1]
 GUIDE = ROOT / "docs" / "operators.md"
-#: Functions that take a reason, and its place among their arguments.
-PLACE_BY_FUNCTION = {
+#: Position of the reason among the arguments of the functions that take one.
+POSITION_BY_FUNCTION = {
     "_end": 2,
     "_not_ready": 0,
     "not_run": 1,
@@ -21,12 +21,12 @@
     "call_later": 3,
     "give_up": 1,
 }
-#: No reason at all, and that of a job that has no outcome yet.
+#: Not in the guide: the empty reason, and that of a job without an outcome yet.
 NOT_LISTED = {"", "running"}
 
 
 def list_reasons() -> set[str]:
-    """Return the reasons that stand in the source as constants."""
+    """Return the reasons that appear as constants in the source."""
     files = [*(ROOT / "zincwell").rglob("*.py")]
     files = [path for path in files if "standins" not in path.parts]
     trees = (ast.parse(path.read_text(encoding="utf-8")) for path in files)
@@ -43,7 +43,7 @@
             if keyword.arg == "reason":
                 yield from _constant(keyword.value)
         name = ast.unparse(node.func).rpartition(".")[2]
-        place = PLACE_BY_FUNCTION.get(name)
+        place = POSITION_BY_FUNCTION.get(name)
         if place is not None and len(node.args) > place:
             yield from _constant(node.args[place])
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,7 +1,7 @@
-"""TLS on all listeners, by settings alone.
+"""TLS on all listeners, configured by settings alone.
 
-The certificates under ``tests/certificates`` were made once with openssl for 127.0.0.1 and are
-good for a hundred years; the authority's key was thrown away.
+The certificates in ``tests/certificates`` are made with openssl for 127.0.0.1 and valid for a
+hundred years; the key of the authority is not kept.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def secrets(tmp_path: Path) -> dict[str, str]:
-    """Settings of the files of secrets."""
+    """Write the peers' key and the operators' token; return the settings that name the files."""
     peer_key, token = tmp_path / "peer.key", tmp_path / "token.txt"
     peer_key.write_text(PEER_KEY)
     token.write_text(TOKEN)
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 async def tls_cluster(tmp_path: Path, secrets: dict[str, str]) -> AsyncIterator[Cluster]:
-    """A cluster whose entries speak TLS on all listeners and need all secrets."""
+    """Provide a cluster that uses TLS on all listeners and requires all secrets."""
     trust = ssl.create_default_context(cafile=str(AUTHORITY))
     headers = {"Authorization": f"Bearer {TOKEN}"}
     connector = aiohttp.TCPConnector(ssl=trust)
@@ -66,7 +66,7 @@
 
 
 async def test_submission_over_tls_with_its_home_at_a_peer(tls_cluster: Cluster):
-    """Entries claim keys from each other over TLS, under the peers' key."""
+    """Entries claim keys from each other over TLS with the peers' key."""
     await tls_cluster.open(domains={"kariakoo": (2, 1)})
     one, other = tls_cluster.entry_by_vm.values()
     keys = [f"kariakoo/{n}" for n in range(100)]
@@ -83,10 +83,10 @@
 
 
 async def test_peer_with_a_certificate_of_another_authority_is_not_trusted(tls_cluster: Cluster):
-    """An entry sends its key and its claims only to a listener that its authority vouches for.
+    """An entry sends the peers' key only to a listener with a certificate of its authority.
 
-    Symptom: whoever takes over an address learns the peers' key. Sequence: an entry calls a
-    listener with a certificate that a stranger signed. Cause: certificates are not checked.
+    Failure: whoever takes over an address learns the peers' key. An entry calls a listener whose
+    certificate is signed by another authority, and does not verify the certificate.
     """
     await tls_cluster.open(domains={"kariakoo": (1, 0)})
     url = tls_cluster.entry_by_vm["entry-0"].fields["peers"]
@@ -100,7 +100,7 @@
 
 
 async def call_peer(url: str, *, ca_file: Path | str) -> bytes:
-    """Ask a listener for peers for its state, as an entry does."""
+    """Request ``/peer/state`` from a peers' listener, as an entry does."""
     connector = aiohttp.TCPConnector(ssl=make_client_tls(str(ca_file)))
     async with aiohttp.ClientSession(connector=connector) as session:
         transport = HttpPeerTransport(session=session, key=PEER_KEY)
@@ -140,11 +140,11 @@
         assert_that(response.headers["Set-Cookie"], ContainsAll(["Secure", "HttpOnly"]))
 
 
-async def test_silent_tls_connection_keeps_nobody_waiting(tls_cluster: Cluster):
-    """A connection that never says anything does not hold up others.
+async def test_silent_tls_connection_does_not_block_others(tls_cluster: Cluster):
+    """A connection that sends no TLS handshake does not block other connections.
 
-    Symptom: a listener stops to answer. Sequence: a client connects and sends no handshake.
-    Cause: the handshake is waited for where connections are accepted.
+    Failure: a listener stops answering. A client connects and sends nothing, and the listener
+    waits for the handshake before it accepts the next connection.
     """
     await tls_cluster.open(domains={"kariakoo": (1, 0)})
     entry = tls_cluster.entry_by_vm["entry-0"]
--- a/zincwell/listeners/__init__.py
+++ b/zincwell/listeners/__init__.py
@@ -1,4 +1,4 @@
-"""Listeners of an entry: for callers, for peers and for operators, each on its own port."""
+"""HTTP listeners of an entry for callers, peers and operators, each on its own port."""
 
 from zincwell.listeners._callers import CallersListener
 from zincwell.listeners._operators import (
--- a/zincwell/listeners/_callers.py
+++ b/zincwell/listeners/_callers.py
@@ -1,4 +1,4 @@
-"""The listener for callers: submissions and single requests."""
+"""HTTP listener for callers: submissions and single requests."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     "fits_no_worker": 422,
 }
 ACCEPTED = 202
-WALL_HEADER = "X-Zincwell-Time"
+TIME_HEADER = "X-Zincwell-Time"
 DOMAIN_HEADER = "X-Zincwell-Domain"
 
 
 class CallersListener(Listener):
-    """Serves callers."""
+    """Serves submissions, requests and readiness to callers."""
 
     name = "callers"
 
@@ -45,7 +45,7 @@
         self.app.add_route(self._ready, "/ready", methods=["GET"])
 
     async def _submit(self, request: Request) -> HTTPResponse:
-        """Run a submission; with ``wait=0`` answer as soon as it is taken in."""
+        """Run a submission; with ``wait=0`` answer 202 as soon as it is accepted."""
         try:
             submission = decode_submission(request.body)
         except BadRequestError as error:
@@ -55,24 +55,24 @@
             found = await submissions.accept(submission)
             if isinstance(found, Err):
                 return self._answer(found.err_value)
-            return self._pending(submission.key)
+            return self._answer_pending(submission.key)
         return self._answer(await submissions.submit(submission))
 
     async def _poll(self, request: Request) -> HTTPResponse:
         try:
-            named = _named_key(request)
+            query = _read_key_query(request)
         except BadRequestError as error:
             return self._answer(Answer(reason="bad_request", detail=str(error)))
-        answer = await self.entry.submissions.poll(**named)
-        return self._pending(named["key"]) if answer is None else self._answer(answer)
+        answer = await self.entry.submissions.poll(**query)
+        return self._answer_pending(query["key"]) if answer is None else self._answer(answer)
 
     async def _cancel(self, request: Request) -> HTTPResponse:
         try:
-            named = _named_key(request)
+            query = _read_key_query(request)
         except BadRequestError as error:
             return self._answer(Answer(reason="bad_request", detail=str(error)))
-        answer = await self.entry.submissions.cancel(**named)
-        return self._pending(named["key"]) if answer is None else self._answer(answer)
+        answer = await self.entry.submissions.cancel(**query)
+        return self._answer_pending(query["key"]) if answer is None else self._answer(answer)
 
     async def _request(self, request: Request) -> HTTPResponse:
         try:
@@ -82,14 +82,14 @@
         return self._answer(await self.entry.submissions.request(call))
 
     async def _time(self, _: Request) -> HTTPResponse:
-        """Tell the entry's clock and domain, from which a client makes its keys."""
+        """Return the entry's wall clock and domain, from which a client makes its keys."""
         return reply({"time": self.entry.clock.wall(), "domain": self.entry.settings.domain})
 
     async def _ready(self, _: Request) -> HTTPResponse:
         ready = self.entry.is_ready()
         return reply({"ready": ready}, status=200 if ready else 503)
 
-    def _pending(self, key: str) -> HTTPResponse:
+    def _answer_pending(self, key: str) -> HTTPResponse:
         return reply(Answer(key=key, reason="running"), status=ACCEPTED)
 
     def _answer(self, answer: Answer) -> HTTPResponse:
@@ -98,14 +98,14 @@
             status = STATUS_BY_OUTCOME[Outcome.FAILED]
         headers = {
             DOMAIN_HEADER: self.entry.settings.domain,
-            WALL_HEADER: f"{self.entry.clock.wall():.3f}",
+            TIME_HEADER: f"{self.entry.clock.wall():.3f}",
         }
         if answer.retry_after_ms is not None:
             headers["Retry-After"] = str(math.ceil(answer.retry_after_ms / 1000))
         return reply(answer, status=status, headers=headers)
 
 
-def _named_key(request: Request) -> dict:
+def _read_key_query(request: Request) -> dict:
     key, tenant = request.args.get("key"), request.args.get("tenant")
     if not key:
         raise BadRequestError("missing query parameter `key`")
--- a/zincwell/listeners/_console.py
+++ b/zincwell/listeners/_console.py
@@ -1,8 +1,7 @@
-"""The console of forms on the operators' listener.
+"""HTML console on the operators' listener.
 
-Its only output is one validated document: a draft is edited, shown with its difference from
-the version in force, and published. The draft travels in the forms, so that any entry can
-take the next step.
+It edits the configuration document: an operator edits a draft, reviews its diff and publishes
+it. The draft is a hidden form field, so any entry can serve the next request.
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 ROOT = "/console"
 COOKIE = "zincwell_session"
 TEMPLATES = Path(__file__).parent / "templates"
-LATE_CHANGES = 20
+MAX_SHOWN_VERDICTS = 20
 SEE_OTHER = 303
 BAD_REQUEST = 400
 UNAUTHORIZED = 401
@@ -52,11 +51,11 @@
 log = logging.getLogger("zincwell.console")
 
 Form = list[tuple[str, str]]
-Page = Callable[["Console", Request, Session], Awaitable[HTTPResponse]]
+PageHandler = Callable[["Console", Request, Session], Awaitable[HTTPResponse]]
 
 
-def page(method: Page) -> Callable[[Console, Request], Awaitable[HTTPResponse]]:
-    """Let only a signed-in operator see a page, and only our own forms change anything."""
+def require_session(method: PageHandler) -> Callable[[Console, Request], Awaitable[HTTPResponse]]:
+    """Require a session and, for a POST, the CSRF token of that session."""
 
     @functools.wraps(method)
     async def guarded(self: Console, request: Request) -> HTTPResponse:
@@ -66,17 +65,17 @@
         try:
             response = await method(self, request, found.ok_value)
         except BadRequestError as error:
-            return self.refuse(BAD_REQUEST, str(error))
-        return self.keep_session(response, found.ok_value)
+            return self.render_refusal(BAD_REQUEST, str(error))
+        return self.renew_session(response, found.ok_value)
 
     return guarded
 
 
 class Console:
-    """Pages for operators' browsers.
+    """Serves the console's pages.
 
     :param token: the operators' token; empty for none.
-    :param is_tls: whether the listener speaks TLS.
+    :param is_tls: whether the listener uses TLS; sets the ``Secure`` flag of cookies.
     """
 
     def __init__(self, *, entry: Entry, token: str, is_tls: bool):
@@ -92,7 +91,10 @@
         )
 
     def add_routes(self, add: Callable) -> None:
-        """Add the pages to an application."""
+        """Register the routes of the console.
+
+        :param add: ``add_route`` of the Sanic application.
+        """
         add(self._style, f"{ROOT}/style.css", methods=["GET"])
         add(self._show_sign_in, f"{ROOT}/sign-in", methods=["GET"])
         add(self._sign_in, f"{ROOT}/sign-in", methods=["POST"])
@@ -110,21 +112,21 @@
         return HTTPResponse(body=body, headers=HEADERS, content_type="text/css; charset=utf-8")
 
     async def _show_sign_in(self, _: Request) -> HTTPResponse:
-        return self._ask_to_sign_in()
+        return self._render_sign_in()
 
     async def _sign_in(self, request: Request) -> HTTPResponse:
         form = _read_form(request)
         name = _field(form, "name").strip()
-        if not self.sessions.admits(_field(form, "token").strip()):
+        if not self.sessions.is_operator_token(_field(form, "token").strip()):
             log.warning("sign_in_refused", extra={"operator": name, "from": request.ip})
-            return self._ask_to_sign_in(name=name, error="The token is not the operators' token.")
+            return self._render_sign_in(name=name, error="The token is not the operators' token.")
         if check_name(name):
             error = "A name has 1 to 64 letters, digits, dots, underscores and hyphens."
-            return self._ask_to_sign_in(name=name, error=error)
+            return self._render_sign_in(name=name, error=error)
         log.info("sign_in", extra={"operator": name, "from": request.ip})
-        return self.keep_session(_redirect(ROOT), self.sessions.begin(name))
+        return self.renew_session(_redirect(ROOT), self.sessions.start_session(name))
 
-    def _ask_to_sign_in(self, *, name: str = "", error: str = "") -> HTTPResponse:
+    def _render_sign_in(self, *, name: str = "", error: str = "") -> HTTPResponse:
         return self._render(
             "sign_in.html",
             status=UNAUTHORIZED if error else 200,
@@ -141,17 +143,17 @@
         return self._set_cookie(_redirect(f"{ROOT}/sign-in"), "", max_age=0)
 
     def check_session(self, request: Request) -> Result[Session, HTTPResponse]:
-        """Return the session of a call, or the page that refuses it."""
+        """Return the session of a request, or the response that rejects the request."""
         session = self.sessions.read_cookie(request.cookies.get(COOKIE))
         if session is None:
             return Err(_redirect(f"{ROOT}/sign-in"))
         given = _field(_read_form(request), "csrf")
         if request.method == "POST" and not self.sessions.is_form_token(given, session):
-            return Err(self.refuse(FORBIDDEN, "This form was not made for your session."))
+            return Err(self.render_refusal(FORBIDDEN, "This form was not made for your session."))
         return Ok(session)
 
-    def keep_session(self, response: HTTPResponse, session: Session) -> HTTPResponse:
-        """Set the cookie anew, so that a session ends only some time after its last page."""
+    def renew_session(self, response: HTTPResponse, session: Session) -> HTTPResponse:
+        """Set a new cookie, so that the session expires ``LIFETIME_S`` after its last request."""
         return self._set_cookie(response, self.sessions.make_cookie(session), max_age=LIFETIME_S)
 
     def _set_cookie(self, response: HTTPResponse, value: str, *, max_age: int) -> HTTPResponse:
@@ -168,7 +170,7 @@
 
     # -- pages ---------------------------------------------------------------------------
 
-    @page
+    @require_session
     async def _overview(self, request: Request, session: Session) -> HTTPResponse:
         configuration = self._entry.configuration
         verdicts = list(configuration.verdict_by_id.values())
@@ -179,22 +181,24 @@
             entry=self._entry.status(),
             version=configuration.version,
             document=drafts.format_document(configuration.value),
-            verdicts=[_tell(verdict) for verdict in reversed(verdicts[-LATE_CHANGES:])],
+            verdicts=[
+                _describe_verdict(verdict) for verdict in reversed(verdicts[-MAX_SHOWN_VERDICTS:])
+            ],
             published=request.args.get("published", ""),
         )
 
-    @page
+    @require_session
     async def _show_edit(self, request: Request, session: Session) -> HTTPResponse:
         draft = drafts.begin_draft(self._entry.configuration)
         return self._show_forms(session, draft, request.args.get("section", "services"))
 
-    @page
+    @require_session
     async def _edit(self, request: Request, session: Session) -> HTTPResponse:
-        """Take what was typed, then do what the pressed button says."""
+        """Apply the typed values to the draft, then run the action of the pressed button."""
         form = _read_form(request)
         draft = drafts.decode_draft(_field(form, "draft"))
-        section = _known_section(_field(form, "section"))
-        document = forms.take_fields(draft.document, form)
+        section = _check_section(_field(form, "section"))
+        document = forms.apply_fields(draft.document, form)
         action, _, subject = _field(form, "action").partition(":")
         name, error = _field(form, "new_name").strip(), ""
         if action == "add" or (name and action != "remove"):
@@ -206,28 +210,28 @@
             return self._show_forms(session, edited, section, new_name=name, name_error=error)
         if action == "review":
             return self._review(session, edited)
-        target = _known_section(subject) if action == "section" else section
+        target = _check_section(subject) if action == "section" else section
         return self._show_forms(session, edited, target)
 
-    @page
+    @require_session
     async def _publish(self, request: Request, session: Session) -> HTTPResponse:
         form = _read_form(request)
         draft, note = drafts.decode_draft(_field(form, "draft")), _field(form, "note").strip()
-        if forms.find_faults_of(draft.document):
+        if forms.find_draft_faults(draft.document):
             return self._review(session, draft, note=note)
         proposal = Proposal(
             id=draft.id(), base=draft.base, document=draft.document, by=session.name, note=note
         )
         result = await self._entry.publisher.publish(proposal)
         if isinstance(result, Err):
-            return self._tell_failure(session, draft, note, result.err_value)
+            return self._show_publish_failure(session, draft, note, result.err_value)
         verdict = result.ok_value
         if not verdict.accepted:
             error = f"Not published: {verdict.reason}."
             return self._review(session, draft, note=note, status=CONFLICT, error=error)
         return _redirect(f"{ROOT}?published={verdict.version}")
 
-    @page
+    @require_session
     async def _rebase(self, request: Request, session: Session) -> HTTPResponse:
         form = _read_form(request)
         draft, conflicts = drafts.rebase(
@@ -235,7 +239,7 @@
         )
         return self._review(session, draft, note=_field(form, "note"), conflicts=conflicts)
 
-    def _tell_failure(
+    def _show_publish_failure(
         self, session: Session, draft: drafts.Draft, note: str, failure: PublishFailure
     ) -> HTTPResponse:
         if not failure.is_open:
@@ -256,11 +260,11 @@
         new_name: str = "",
         name_error: str = "",
     ) -> HTTPResponse:
-        faults = forms.find_faults_of(draft.document)
+        faults = forms.find_draft_faults(draft.document)
         sections = [
             forms.make_section(name, draft.document, faults) for name in forms.TITLE_BY_SECTION
         ]
-        shown = next(one for one in sections if one.name == _known_section(section))
+        shown = next(one for one in sections if one.name == _check_section(section))
         return self._render(
             "edit.html",
             session=session,
@@ -269,7 +273,7 @@
             draft_text=drafts.encode_draft(draft),
             sections=sections,
             section=shown,
-            unplaced=forms.list_unplaced(faults, shown),
+            unplaced=forms.list_unplaced_faults(faults, shown),
             new_name=new_name,
             name_error=name_error,
         )
@@ -285,8 +289,8 @@
         is_open: bool = False,
         conflicts: list[drafts.Conflict] | None = None,
     ) -> HTTPResponse:
-        """Show the draft as a document, or the form with its faults if it has any."""
-        faults = forms.find_faults_of(draft.document)
+        """Show the diff of a valid draft, or the first section with faults of an invalid one."""
+        faults = forms.find_draft_faults(draft.document)
         if faults:
             section = forms.section_of(faults[0])
             return self._show_forms(session, draft, section, status=BAD_REQUEST)
@@ -300,15 +304,17 @@
             version=configuration.version,
             diff=drafts.diff_draft(draft),
             document=drafts.format_document(draft.document),
-            since=[_tell(verdict) for verdict in configuration.changes_since(draft.base)],
+            since=[
+                _describe_verdict(verdict) for verdict in configuration.changes_since(draft.base)
+            ],
             note=note,
             error=error,
             is_open=is_open,
             conflicts=conflicts or [],
         )
 
-    def refuse(self, status: int, message: str) -> HTTPResponse:
-        """Return a page that says why nothing was done."""
+    def render_refusal(self, status: int, message: str) -> HTTPResponse:
+        """Return a page that says why the request was rejected."""
         return self._render("refusal.html", status=status, message=message)
 
     def _render(
@@ -328,23 +334,26 @@
         )
 
 
-def _tell(verdict: Verdict) -> dict[str, object]:
-    """Return what a page shows of a verdict."""
+def _describe_verdict(verdict: Verdict) -> dict[str, object]:
+    """Return the template values for a verdict: the verdict and its changed fields."""
     changes = [
-        (".".join(path), drafts.show_value(value))
+        (".".join(path), drafts.format_value(value))
         for path, value in drafts.list_changes(verdict.patch)
     ]
     return {"verdict": verdict, "changes": changes}
 
 
-def _known_section(name: str) -> str:
+def _check_section(name: str) -> str:
     if name not in forms.TITLE_BY_SECTION:
         raise BadRequestError(f"no section {name!r}")
     return name
 
 
 def _read_form(request: Request) -> Form:
-    """Return the fields of a form; blank ones, which sanic drops, stand for a cleared value."""
+    """Return the fields of a form, including the blank ones, which Sanic drops.
+
+    A blank field clears a value.
+    """
     try:
         return parse_qsl(request.body.decode(), keep_blank_values=True)
     except UnicodeDecodeError:
--- a/zincwell/listeners/_drafts.py
+++ b/zincwell/listeners/_drafts.py
@@ -1,4 +1,4 @@
-"""A document that an operator is editing. It travels in the form: entries keep nothing."""
+"""Draft of a configuration document, kept in a form field so that entries store nothing."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class Draft(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A draft and what it was made from.
+    """A draft and the document that it is based on.
 
-    :param base: version that it was made from.
-    :param before: document of that version, kept to rebase the draft.
-    :param document: document as typed; may have values that are not allowed.
+    :param base: version of the document that the draft is based on.
+    :param before: document of that version, needed to rebase the draft.
+    :param document: document as typed; may hold invalid values.
     """
 
     base: int
@@ -30,17 +30,17 @@
     document: dict[str, Any]
 
     def id(self) -> str:
-        """Return the id of the change that publishes it.
+        """Return the id of the change that publishes the draft.
 
-        Made from the content: pressing the button again, after an answer that was lost, is the
-        same change, and after an edit it is another one.
+        It is a hash of the content: publishing again after a lost response is the same change,
+        publishing after an edit is another one.
         """
         content = msgspec.json.encode([self.base, self.document], order="deterministic")
         return hashlib.sha256(content).hexdigest()[:32]
 
 
 class Conflict(Struct, frozen=True, kw_only=True):
-    """A place that both the draft and a change in between have changed."""
+    """A field that was changed both by the draft and by a version published after its base."""
 
     key: str
     mine: str
@@ -48,20 +48,20 @@
 
 
 def begin_draft(configuration: Configuration) -> Draft:
-    """Return a draft of the document in force."""
+    """Return an unchanged draft of the document in force."""
     value = configuration.value
     return Draft(base=configuration.version, before=value, document=value)
 
 
 def encode_draft(draft: Draft) -> str:
-    """Return a draft as it travels in a form."""
+    """Encode a draft for a form field."""
     return msgspec.json.encode(draft).decode()
 
 
 def decode_draft(text: str) -> Draft:
-    """Read a draft from a form.
+    """Decode a draft from a form field.
 
-    :raises BadRequestError: if it is not one.
+    :raises BadRequestError: if the text is not a valid draft.
     """
     try:
         return msgspec.json.decode(text, type=Draft)
@@ -70,11 +70,11 @@
 
 
 def rebase(draft: Draft, configuration: Configuration) -> tuple[Draft, list[Conflict]]:
-    """Put what a draft changes onto the version in force.
+    """Apply the changes of a draft to the version in force.
 
-    A draft of a version that this entry has not read yet stays as it is.
+    A draft that is based on a version this entry has not read yet is returned unchanged.
 
-    :returns: the new draft and the places where it overrides a change made in between.
+    :returns: the new draft and the fields where it overrides a change published after its base.
     """
     if draft.base >= configuration.version:
         return draft, []
@@ -89,7 +89,7 @@
 
 
 def diff_draft(draft: Draft) -> list[str]:
-    """Return the lines of a unified diff of a draft and what it was made from, in TOML."""
+    """Return the unified diff from the base document to the draft, as lines of TOML."""
     lines = difflib.unified_diff(
         format_document(draft.before).splitlines(),
         format_document(draft.document).splitlines(),
@@ -101,17 +101,17 @@
 
 
 def format_document(document: dict[str, Any]) -> str:
-    """Return a document in TOML, its names in order."""
-    return tomli_w.dumps(_sort(document))
+    """Return a document in TOML with sorted keys."""
+    return tomli_w.dumps(_sort_keys(document))
 
 
-def show_value(value: Any) -> str:
-    """Return a value of a patch for a reader; None stands for a removal."""
+def format_value(value: Any) -> str:
+    """Return a value of a merge patch as text; None means that the field is removed."""
     return "removed" if value is None else msgspec.json.encode(value).decode()
 
 
 def list_changes(patch: dict[str, Any], path: Path = ()) -> Iterator[tuple[Path, Any]]:
-    """Yield the places that a merge patch sets, with their new values."""
+    """Yield the path and new value of each field that a merge patch sets."""
     for name, value in patch.items():
         if isinstance(value, dict) and value:
             yield from list_changes(value, (*path, name))
@@ -127,16 +127,19 @@
             if my_path == their_path and my_value == their_value:
                 continue
             key = ".".join(max(my_path, their_path, key=len))
-            yield Conflict(key=key, mine=show_value(my_value), theirs=show_value(their_value))
+            yield Conflict(key=key, mine=format_value(my_value), theirs=format_value(their_value))
 
 
 def _overlap(one: Path, other: Path) -> bool:
-    """Tell whether one place is within the other: removing a pool touches all its fields."""
+    """Return whether one path is a prefix of the other.
+
+    Removing a pool, for example, conflicts with a change of any of its fields.
+    """
     shorter = min(len(one), len(other))
     return one[:shorter] == other[:shorter]
 
 
-def _sort(value: Any) -> Any:
+def _sort_keys(value: Any) -> Any:
     if not isinstance(value, dict):
         return value
-    return {name: _sort(value[name]) for name in sorted(value)}
+    return {name: _sort_keys(value[name]) for name in sorted(value)}
--- a/zincwell/listeners/_forms.py
+++ b/zincwell/listeners/_forms.py
@@ -1,4 +1,4 @@
-"""What the forms show, made from the types of the document, and how they change a draft."""
+"""Form fields of the console, derived from the types of the document, and edits of a draft."""
 
 from __future__ import annotations
 
@@ -20,16 +20,19 @@
 SEPARATOR = "/"
 GENERAL = "general"
 HIDDEN_FIELDS = {"format"}
-LARGEST_NUMBER = 2**53
+MAX_EXACT_NUMBER = 2**53
 BOOLEANS = ("true", "false")
 
 
 @dataclass(frozen=True, kw_only=True)
 class FieldView:
-    """One input.
+    """One input field.
 
-    :param options: values to choose from; none for a text.
-    :param error: what is allowed, if what was typed is not.
+    :param note: type, default and meaning of the field.
+    :param value: current value as text.
+    :param options: values of a drop-down list; empty for a text field.
+    :param is_list: whether the value is a list, shown one item a line.
+    :param error: message for an invalid value; empty if it is valid.
     """
 
     name: str
@@ -42,7 +45,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RowView:
-    """The inputs of one service, pool, class or tenant."""
+    """The input fields of one service, pool, urgency class or tenant."""
 
     name: str
     fields: list[FieldView]
@@ -51,10 +54,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SectionView:
-    """One page of the forms.
+    """One page of the form.
 
-    :param rows: by name, for a section of named entries; one row without a name otherwise.
-    :param faults: number of faults in it.
+    :param rows: one row for each named entry, or a single row without a name.
+    :param faults: number of faults in the section.
     """
 
     name: str
@@ -66,7 +69,7 @@
 
     @property
     def is_mapping(self) -> bool:
-        """Whether entries can be added and removed."""
+        """Return whether entries can be added and removed."""
         return self.name != GENERAL
 
 
@@ -83,13 +86,13 @@
 
 
 def make_section(name: str, document: dict[str, Any], faults: list[Fault]) -> SectionView:
-    """Return what the page of one section shows of a draft."""
+    """Return the view of one section of a draft."""
     title, hint = TITLE_BY_SECTION[name]
     error_by_path = {fault.path: fault.message for fault in faults}
     if name == GENERAL:
         rows, notes = [_general_row(document, error_by_path)], ()
     else:
-        struct = _struct_of(name)
+        struct = _entry_struct(name)
         notes = list_notes(struct)
         rows = [
             _row(document, (name, entry), struct, error_by_path) for entry in _table(document, name)
@@ -105,13 +108,13 @@
 
 
 def section_of(fault: Fault) -> str:
-    """Return the section that shows a fault."""
+    """Return the name of the section that shows a fault."""
     first = fault.path[0] if fault.path else GENERAL
     return first if first in TITLE_BY_SECTION else GENERAL
 
 
-def list_unplaced(faults: list[Fault], section: SectionView) -> list[str]:
-    """Return the faults of a section that none of its inputs shows."""
+def list_unplaced_faults(faults: list[Fault], section: SectionView) -> list[str]:
+    """Return the messages of a section's faults that belong to none of its input fields."""
     shown = {part.name for row in section.rows for part in row.fields}
     shown |= {input_name((section.name, row.name)) for row in section.rows}
     return [
@@ -121,19 +124,22 @@
     ]
 
 
-def take_fields(document: dict[str, Any], form: Iterable[tuple[str, str]]) -> dict[str, Any]:
-    """Return a document with what was typed; a value that is not allowed stays as typed."""
+def apply_fields(document: dict[str, Any], form: Iterable[tuple[str, str]]) -> dict[str, Any]:
+    """Return a document with the form's values; an invalid value is kept as typed."""
     changed = copy.deepcopy(document)
     for name, text in form:
         path = tuple(name.removeprefix(FIELD_PREFIX).split(SEPARATOR))
         type_ = _type_at(path) if name.startswith(FIELD_PREFIX) else None
         if type_ is not None:
-            _set(changed, path, _parse(text, type_))
+            _set_at(changed, path, _parse(text, type_))
     return changed
 
 
 def add_entry(document: dict[str, Any], section: str, name: str) -> tuple[dict[str, Any], str]:
-    """Add an empty entry to a section; return the document and what is wrong, if anything."""
+    """Add an empty entry to a section.
+
+    :returns: the document and an error message, empty if the entry was added.
+    """
     message = check_value(name, Name)
     if not message and name in _table(document, section):
         message = f"{name} is already there"
@@ -145,19 +151,19 @@
 
 
 def remove_entry(document: dict[str, Any], section: str, name: str) -> dict[str, Any]:
-    """Return a document without an entry."""
+    """Return a copy of a document without an entry of a section."""
     changed = copy.deepcopy(document)
     _table(changed, section).pop(name, None)
     return changed
 
 
-def find_faults_of(document: dict[str, Any]) -> list[Fault]:
-    """Return everything that is wrong in a draft."""
+def find_draft_faults(document: dict[str, Any]) -> list[Fault]:
+    """Return all faults of a draft's document."""
     return list(find_document_faults(document))
 
 
 def input_name(path: tuple[str, ...]) -> str:
-    """Return the name of the input for a place in the document."""
+    """Return the name of the input field for a path in the document."""
     return FIELD_PREFIX + SEPARATOR.join(path)
 
 
@@ -182,8 +188,8 @@
 def _field(
     document: dict[str, Any], path: tuple[str, ...], note: FieldNote, error_by_path: dict
 ) -> FieldView:
-    value, type_ = _get(document, path), _type_at(path)
-    is_list = get_origin(_plain(type_)) is list
+    value, type_ = _get_at(document, path), _type_at(path)
+    is_list = get_origin(_strip_annotation(type_)) is list
     text = _format(value)
     return FieldView(
         name=input_name(path),
@@ -198,7 +204,7 @@
 def _list_options(
     document: dict[str, Any], path: tuple[str, ...], note: FieldNote, text: str
 ) -> list[str]:
-    """Return what a field can be chosen from; what it has now is always among it."""
+    """Return the values to choose from, always including the current one; empty for free text."""
     if _type_at(path) is bool:
         options = list(BOOLEANS)
     elif path[0] == "services" and path[-1] == "pool":
@@ -210,7 +216,7 @@
     return options
 
 
-def _struct_of(section: str) -> type[Struct]:
+def _entry_struct(section: str) -> type[Struct]:
     return inner_struct(_fields_of(Document)[section].type)
 
 
@@ -220,7 +226,7 @@
 
 
 def _type_at(path: tuple[str, ...]) -> Any:
-    """Return the type of a plain field by its place; None if there is no such field."""
+    """Return the type of the scalar or list field at a path; None if there is no such field."""
     top = _fields_of(Document).get(path[0])
     if top is None:
         return None
@@ -232,13 +238,13 @@
     return found.type if found is not None else None
 
 
-def _plain(type_: Any) -> Any:
+def _strip_annotation(type_: Any) -> Any:
     return get_args(type_)[0] if get_origin(type_) is Annotated else type_
 
 
 def _parse(text: str, type_: Any) -> Any:
-    """Return the value that a text stands for; None if blank, the text if it stands for none."""
-    text, plain = text.strip(), _plain(type_)
+    """Parse a text as a type; return None for a blank scalar and the text itself if invalid."""
+    text, plain = text.strip(), _strip_annotation(type_)
     if get_origin(plain) is list:
         return text.replace(",", " ").split()
     if not text:
@@ -255,8 +261,8 @@
         number = type_(text)
     except ValueError:
         return text
-    # Infinity, what is no number, and what would change on its way through the form.
-    return number if abs(number) <= LARGEST_NUMBER else text
+    # Infinity, NaN and numbers too large to survive the form unchanged stay text.
+    return number if abs(number) <= MAX_EXACT_NUMBER else text
 
 
 def _format(value: Any) -> str:
@@ -274,15 +280,18 @@
     return table if isinstance(table, dict) else {}
 
 
-def _get(document: dict[str, Any], path: tuple[str, ...]) -> Any:
+def _get_at(document: dict[str, Any], path: tuple[str, ...]) -> Any:
     value: Any = document
     for name in path:
         value = value.get(name) if isinstance(value, dict) else None
     return value
 
 
-def _set(document: dict[str, Any], path: tuple[str, ...], value: Any) -> None:
-    """Set a place, or clear it for None; an entry that is not there is not brought back."""
+def _set_at(document: dict[str, Any], path: tuple[str, ...], value: Any) -> None:
+    """Set the value at a path, or remove it for None.
+
+    Does not recreate an entry that has been removed.
+    """
     *outer, last = path
     parent = document
     for depth, name in enumerate(outer):
--- a/zincwell/listeners/_guests.py
+++ b/zincwell/listeners/_guests.py
@@ -1,9 +1,9 @@
-"""Routes of the peers' listener that serve other domains' entries as a worker does.
+"""Worker protocol on the peers' listener, used by entries of other failure domains.
 
-Their path names the incarnation that granted the lease. What goes wrong without it: an entry
-restarts at the same address and forgets the tasks that it ran; asked about them, it fences
-them as never seen, and their owner starts them again. With it the restarted entry answers an
-error, which proves nothing, and the owner says ``outcome_unknown``.
+The path holds the incarnation of the entry that granted the lease. Without it, an entry that
+restarts at the same address and has lost its tasks would fence them as never seen, and their
+owner would start them a second time. With it, the restarted entry answers with an error, which
+proves nothing about the tasks, and the owner reports ``outcome_unknown``.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 GONE = 410
 PREFIX = "/spill/<incarnation:str>/<pool:str>"
-LINES = "application/x-ndjson"
+NDJSON = "application/x-ndjson"
 
 
 def add_guest_routes(app: Sanic, entry: Entry) -> None:
-    """Add the routes of the worker protocol."""
+    """Register the routes of the worker protocol."""
     routes = _GuestRoutes(entry)
     app.add_route(routes.lease, PREFIX + "/leases", methods=["POST"])
     app.add_route(routes.start, PREFIX + "/starts", methods=["POST"])
@@ -45,14 +45,14 @@
 
     async def lease(self, request: Request, incarnation: str, pool: str) -> HTTPResponse:
         if incarnation != self._entry.incarnation:
-            return _gone()
+            return _answer_gone()
         call = msgspec.json.decode(request.body, type=LeaseCall)
         lease = self._entry.guests.lease(pool=pool, entry=call.entry, ttl_s=call.ttl_s)
         return reply(lease)
 
     async def start(self, request: Request, incarnation: str, pool: str) -> HTTPResponse | None:
         if incarnation != self._entry.incarnation:
-            return _gone()
+            return _answer_gone()
         call = msgspec.json.decode(request.body, type=StartCall)
         events = self._entry.guests.start(
             pool=pool, entry=call.entry, lease=call.lease, tasks=call.tasks
@@ -61,30 +61,33 @@
 
     async def watch(self, request: Request, incarnation: str, pool: str) -> HTTPResponse | None:
         if incarnation != self._entry.incarnation:
-            return _gone()
+            return _answer_gone()
         call = msgspec.json.decode(request.body, type=WatchCall)
         return await _stream(request, self._entry.guests.watch(ids=call.ids, fence=call.fence))
 
     async def stop(self, request: Request, incarnation: str, pool: str) -> HTTPResponse:
         if incarnation != self._entry.incarnation:
-            return _gone()
+            return _answer_gone()
         call = msgspec.json.decode(request.body, type=StopCall)
         return reply(self._entry.guests.stop(ids=call.ids))
 
 
 async def _stream(request: Request, events: AsyncIterator[WorkerEvent]) -> None:
-    """Send events as lines, a beat first, so that the owner knows that they were taken in."""
-    response = await request.respond(content_type=LINES)
+    """Stream events as JSON lines.
+
+    A heartbeat comes first, so that the owner knows that the tasks were accepted.
+    """
+    response = await request.respond(content_type=NDJSON)
     async with aclosing(events):
-        await response.send(_line(WorkerEvent(kind=EventKind.BEAT)))
+        await response.send(_encode_line(WorkerEvent(kind=EventKind.BEAT)))
         async for event in events:
-            await response.send(_line(event))
+            await response.send(_encode_line(event))
     await response.eof()
 
 
-def _line(event: WorkerEvent) -> bytes:
+def _encode_line(event: WorkerEvent) -> bytes:
     return msgspec.json.encode(event) + b"\n"
 
 
-def _gone() -> HTTPResponse:
+def _answer_gone() -> HTTPResponse:
     return reply(Answer(reason="another_incarnation"), status=GONE)
--- a/zincwell/listeners/_listener.py
+++ b/zincwell/listeners/_listener.py
@@ -1,4 +1,4 @@
-"""What the listeners share: a sanic application served inside our own event loop."""
+"""Base class of the listeners: a Sanic application served in the running event loop."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
     from zincwell.entry import Entry
 
 BACKLOG = 1_024
-IDLE_CONNECTION_S = 30
+KEEP_ALIVE_S = 30
 READ_TIMEOUT_S = 15
 JSON = "application/json"
 
 log = logging.getLogger("zincwell.listener")
-_numbers = itertools.count()
+_app_numbers = itertools.count()
 
 
 class Listener:
-    """Base of a listener.
+    """Base class of a listener.
 
-    Sanic is served through ``create_server`` in our loop and never through ``app.run``, which
-    starts worker processes; its banner, which starts one too, is off.
+    Serves Sanic through ``create_server`` in the running event loop, since ``app.run`` starts
+    worker processes. The start-up banner is disabled because it starts a process, too.
     """
 
     name = ""
@@ -51,7 +51,10 @@
         self._add_routes()
 
     def bind(self) -> str:
-        """Take the port, without serving it yet, and return the base URL."""
+        """Bind the port without serving it yet, and return the base URL.
+
+        :raises SettingsError: if the address can't be bound.
+        """
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -70,12 +73,12 @@
         return self.url
 
     async def open(self) -> None:
-        """Start serving."""
+        """Start serving, binding the port first if needed."""
         if self._socket is None:
             self.bind()
         self._server = await self.app.create_server(
             sock=self._socket,
-            ssl=self._tls(),
+            ssl=self._make_tls_context(),
             return_asyncio_server=True,
             access_log=False,
         )
@@ -83,7 +86,7 @@
         await self._server.start_serving()
 
     async def close(self) -> None:
-        """Stop accepting connections, and return once no request is in flight."""
+        """Stop accepting connections and wait until no request is in flight."""
         if self._server is None:
             return
         server, self._server = self._server, None
@@ -94,26 +97,26 @@
             connection.close()
 
     def _add_routes(self) -> None:
-        """Add the routes of the listener."""
+        """Register the routes of the listener."""
         raise NotImplementedError
 
     def _make_app(self) -> Sanic:
-        app = Sanic(f"zincwell-{self.name}-{next(_numbers)}", configure_logging=False)
+        app = Sanic(f"zincwell-{self.name}-{next(_app_numbers)}", configure_logging=False)
         app.config.MOTD = False
-        # It rewrites methods of the class for one application and breaks on the second.
+        # TOUCHUP rewrites methods of the Sanic class and fails for a second application.
         app.config.TOUCHUP = False
         app.config.REQUEST_MAX_SIZE = self._settings.max_body_bytes
         app.config.REQUEST_MAX_HEADER_SIZE = self._settings.max_header_bytes
         app.config.RESPONSE_TIMEOUT = 2 * MAX_DEADLINE_MS // 1000
         app.config.REQUEST_TIMEOUT = READ_TIMEOUT_S
-        app.config.KEEP_ALIVE_TIMEOUT = IDLE_CONNECTION_S
-        app.error_handler.add(SanicException, _answer_error)
-        app.error_handler.add(Exception, _answer_fault)
-        app.on_request(self._enter)
-        app.on_response(self._leave)
+        app.config.KEEP_ALIVE_TIMEOUT = KEEP_ALIVE_S
+        app.error_handler.add(SanicException, _answer_framework_error)
+        app.error_handler.add(Exception, _answer_unhandled_error)
+        app.on_request(self._begin_request)
+        app.on_response(self._end_request)
         return app
 
-    def _tls(self) -> ssl.SSLContext | None:
+    def _make_tls_context(self) -> ssl.SSLContext | None:
         if not self._settings.tls_cert:
             return None
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -123,12 +126,12 @@
             raise SettingsError(f"{self._settings.tls_cert}: {error}") from error
         return context
 
-    async def _enter(self, request: Request) -> None:
+    async def _begin_request(self, request: Request) -> None:
         request.ctx.counted = True
         self._in_flight += 1
         self._idle.clear()
 
-    async def _leave(self, request: Request, response: HTTPResponse) -> None:
+    async def _end_request(self, request: Request, response: HTTPResponse) -> None:
         if not getattr(request.ctx, "counted", False):
             return
         request.ctx.counted = False
@@ -140,19 +143,19 @@
 
 
 def reply(value: object, *, status: int = 200, headers: dict | None = None) -> HTTPResponse:
-    """Make a JSON answer of a message."""
+    """Return a JSON response with an encoded message."""
     body = msgspec.json.encode(value)
     return HTTPResponse(body=body, status=status, headers=headers, content_type=JSON)
 
 
-def _answer_error(_: Request, error: SanicException) -> HTTPResponse:
-    """Answer what sanic itself refuses in the documented shape."""
+def _answer_framework_error(_: Request, error: SanicException) -> HTTPResponse:
+    """Answer a request that Sanic rejects with an ``Answer``, as for all other errors."""
     answer = Answer(reason="bad_request", detail=str(error))
     return reply(answer, status=error.status_code)
 
 
-def _answer_fault(request: Request, error: Exception) -> HTTPResponse:
-    """Answer a fault of our own: what has run by then, nobody can say."""
+def _answer_unhandled_error(request: Request, error: Exception) -> HTTPResponse:
+    """Answer an unhandled exception; the outcome is unknown, since tasks may have run."""
     log.error("fault", exc_info=error, extra={"path": request.path})
     answer = Answer(outcome=Outcome.OUTCOME_UNKNOWN, reason="internal_error")
     return reply(answer, status=500)
--- a/zincwell/listeners/_operators.py
+++ b/zincwell/listeners/_operators.py
@@ -1,4 +1,4 @@
-"""The listener for operators: health, metrics, status, configuration, drain."""
+"""HTTP listener for operators: health, metrics, status, configuration, drain."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     from zincwell.entry import Entry
 
 FORBIDDEN = 403
-OPEN_PATHS = frozenset({"/live", "/ready"})
+UNAUTHENTICATED_PATHS = frozenset({"/live", "/ready"})
 BAD_REQUEST = 400
 UNAUTHORIZED = 401
 CONFLICT = 409
@@ -35,17 +35,18 @@
 
 
 class ConfigReply(Struct, frozen=True, kw_only=True):
-    """The configuration in force; version -1 if there is none."""
+    """The configuration in force; the version is -1 if there is none."""
 
     version: int
     document: dict[str, Any]
 
 
 class CheckReply(Struct, frozen=True, kw_only=True):
-    """What a document would change.
+    """Result of checking a document.
 
-    :param error: why it is not valid, naming the field; empty if it is.
-    :param patch: merge patch from the document in force.
+    :param version: version in force.
+    :param error: why the document is invalid, naming the field; empty if it is valid.
+    :param patch: merge patch from the document in force to the checked one.
     """
 
     version: int
@@ -57,7 +58,7 @@
     """Verdict on a proposal.
 
     :param version: version in force now.
-    :param since: changes accepted after the proposal's base, if it lost a race.
+    :param since: changes accepted after the proposal's base, if the proposal was rejected.
     """
 
     accepted: bool
@@ -67,7 +68,11 @@
 
 
 class OperatorsListener(Listener):
-    """Serves operators; every call but health needs the bearer token, if one is set."""
+    """Serves operators.
+
+    If a token is set, all paths but the health checks need it as a bearer token, or a session on
+    the pages of the console.
+    """
 
     name = "operators"
 
@@ -87,12 +92,12 @@
         add(self._publish_config, "/v1/config", methods=["POST"])
         add(self._drain, "/v1/drain", methods=["POST"])
         self.console.add_routes(add)
-        self.app.on_request(self._check_caller)
+        self.app.on_request(self._authorize)
 
-    async def _check_caller(self, request: Request) -> HTTPResponse | None:
-        if request.path in OPEN_PATHS:
+    async def _authorize(self, request: Request) -> HTTPResponse | None:
+        if request.path in UNAUTHENTICATED_PATHS:
             return None
-        if not self._token and _is_from_a_page(request):
+        if not self._token and _is_cross_site(request):
             answer = Answer(reason="cross_site", detail="not for pages of other sites")
             return reply(answer, status=FORBIDDEN)
         if not self._token or self._is_console(request):
@@ -104,7 +109,7 @@
         return reply(answer, status=UNAUTHORIZED)
 
     def _is_console(self, request: Request) -> bool:
-        """Tell whether it is a page of the console, which asks for a session by itself."""
+        """Return whether the path belongs to the console, which checks sessions itself."""
         return request.path == ROOT or request.path.startswith(ROOT + "/")
 
     async def _live(self, _: Request) -> HTTPResponse:
@@ -126,7 +131,7 @@
         return reply(ConfigReply(version=configuration.version, document=configuration.value))
 
     async def _check_config(self, request: Request) -> HTTPResponse:
-        """Check a document and show what it would change, publishing nothing."""
+        """Validate a document and return what it would change, without publishing it."""
         configuration = self.entry.configuration
         try:
             document = msgspec.json.decode(request.body, type=dict[str, Any])
@@ -147,9 +152,9 @@
             failure = result.err_value
             status = UNAVAILABLE if failure.is_open else STATUS_BY_REASON[failure.reason]
             return reply(Answer(reason=failure.reason, detail=failure.detail), status=status)
-        return self._tell_verdict(proposal, result.ok_value)
+        return self._reply_verdict(proposal, result.ok_value)
 
-    def _tell_verdict(self, proposal: Proposal, verdict: Verdict) -> HTTPResponse:
+    def _reply_verdict(self, proposal: Proposal, verdict: Verdict) -> HTTPResponse:
         configuration = self.entry.configuration
         since = [] if verdict.accepted else configuration.changes_since(proposal.base)
         body = PublishReply(
@@ -161,17 +166,17 @@
         return reply(body, status=200 if verdict.accepted else CONFLICT)
 
     async def _drain(self, _: Request) -> HTTPResponse:
-        """Begin to drain; the process ends once nothing is in flight."""
+        """Start draining; the process exits once nothing is in flight."""
         self.entry.ask_to_drain()
         return reply({"draining": True}, status=202)
 
 
-def _is_from_a_page(request: Request) -> bool:
-    """Tell whether a page of another site made a browser send this.
+def _is_cross_site(request: Request) -> bool:
+    """Return whether a browser may have sent the request for a page of another site.
 
-    Without a token, whoever runs a browser on this machine is trusted, and any page that it
-    shows could publish a change from there. One would notice changes that nobody made. A page
-    has to say its origin, or it had its own name resolved to our address.
+    Without a token, every local process is trusted, including a browser, so any page that it
+    shows could publish a change. The Origin header gives away a cross-site request; a host that
+    is neither ``localhost`` nor an IPv4 address gives away DNS rebinding.
     """
     host = request.headers.get("host", "")
     name = host.partition(":")[0]
--- a/zincwell/listeners/_peers.py
+++ b/zincwell/listeners/_peers.py
@@ -1,4 +1,4 @@
-"""The listener for peers: heartbeats, claims, attaches, handovers."""
+"""HTTP listener for peers: heartbeats, claims, attaches, handovers."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 
 
 class PeersListener(Listener):
-    """Serves the other entries.
+    """Serves messages from other entries.
 
-    :param key: shared key that each call has to prove; empty for none.
+    :param key: shared key that each request must carry; empty for none.
     """
 
     name = "peers"
--- a/zincwell/listeners/_sessions.py
+++ b/zincwell/listeners/_sessions.py
@@ -1,8 +1,7 @@
-"""Sign-in of operators' browsers, without any state on the entry.
+"""Stateless sessions of the console.
 
-The balancer may send each call of a browser to another entry, and an entry keeps nothing. So
-the session is in its cookie, signed by a key that comes from the operators' token, which all
-entries have.
+A load balancer may send each request of a browser to another entry. So the cookie holds the
+whole session, signed with a key derived from the operators' token, which all entries share.
 """
 
 from __future__ import annotations
@@ -25,8 +24,8 @@
 class Session:
     """A signed-in operator.
 
-    :param name: as typed at the sign-in; stands in the record of each change.
-    :param nonce: tells one sign-in from another.
+    :param name: name typed at sign-in, recorded with each published change.
+    :param nonce: random value, unique to the sign-in.
     """
 
     name: str
@@ -34,9 +33,10 @@
 
 
 class Sessions:
-    """Makes and checks sessions' cookies and the tokens of forms.
+    """Creates and verifies session cookies and CSRF tokens.
 
-    :param token: the operators' token; without one, sessions end with this process.
+    :param token: the operators' token; if empty, the signing key is random and sessions are
+        valid only while this process runs.
     """
 
     def __init__(self, *, token: str, clock: Clock):
@@ -46,22 +46,22 @@
         secret = token or secrets.token_hex()
         self._key = hmac.digest(secret.encode(), KEY_PURPOSE, DIGEST)
 
-    def admits(self, token: str) -> bool:
-        """Tell whether a token is the operators' one."""
+    def is_operator_token(self, token: str) -> bool:
+        """Return whether a token is the operators' token; always true if none is set."""
         return not self._token or hmac.compare_digest(token.encode(), self._token.encode())
 
-    def begin(self, name: str) -> Session:
-        """Return a new session of an operator."""
+    def start_session(self, name: str) -> Session:
+        """Return a new session for an operator."""
         return Session(name=name, nonce=secrets.token_hex(16))
 
     def make_cookie(self, session: Session) -> str:
-        """Return the cookie's value, valid for ``LIFETIME_S`` from now."""
+        """Return a cookie value that is valid for ``LIFETIME_S`` from now."""
         expires = str(round(self._clock.wall()) + LIFETIME_S)
         parts = (session.name, session.nonce, expires)
         return SEPARATOR.join((*parts, self._sign("cookie", *parts)))
 
     def read_cookie(self, cookie: str | None) -> Session | None:
-        """Return the session of a cookie, or None if it is not ours or has expired."""
+        """Return the session of a cookie, or None if its signature is wrong or it has expired."""
         parts = (cookie or "").split(SEPARATOR)
         if len(parts) != 4:
             return None
@@ -73,15 +73,15 @@
         return Session(name=name, nonce=nonce)
 
     def make_form_token(self, session: Session) -> str:
-        """Return what each form of a session carries.
+        """Return the CSRF token of a session, a hidden field of each of its forms.
 
-        Without it, a page of someone else's could make a signed-in browser post a change; one
-        would notice a change that its operator does not know of.
+        Without it, a page of another site could make a signed-in browser post a change that the
+        operator does not know of.
         """
         return self._sign("form", session.name, session.nonce)
 
     def is_form_token(self, given: str, session: Session) -> bool:
-        """Tell whether a form was made by us for this session."""
+        """Return whether a CSRF token belongs to a session."""
         return self._is_signed(given, "form", session.name, session.nonce)
 
     def _sign(self, *parts: str) -> str:
@@ -92,5 +92,5 @@
 
 
 def check_name(name: str) -> str:
-    """Return what is allowed if an operator's name is not, or an empty string."""
+    """Return why an operator's name is invalid, or an empty string if it is valid."""
     return check_value(name, Name)
