--- a/proofs/mutations.py
+++ b/proofs/mutations.py
@@ -155,7 +155,7 @@
     _worker(
         "crossed-id-unchecked",
         "adapters/_worker.py",
-        "        if event.id not in open_ids:\n",
+        "        if event.id not in pending_ids:\n",
         "        if False:\n",
         "test_truncated_and_crossed_answers",
     ),
@@ -329,7 +329,7 @@
         edits=(
             _edit(
                 "adapters/_worker.py",
-                "        if event.id not in open_ids:\n",
+                "        if event.id not in pending_ids:\n",
                 "        if False:\n",
             ),
             _edit(
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,25 +1,25 @@
-"""A TCP relay that cuts or silences connections by where they come from."""
+"""TCP relay that aborts connections or drops their data, by source address."""
 
 from __future__ import annotations
 
 import asyncio
 
-CHUNK = 65_536
+CHUNK_BYTES = 65_536
 
 
 class Relay:
-    """Forwards connections to a target that may be set later.
+    """Forwards connections to a target that can be set later.
 
-    :ivar cut_from: source addresses whose connections are closed and refused.
-    :ivar swallow_from: source addresses whose bytes are read and thrown away both ways.
+    :ivar cut_from: source addresses whose connections are refused.
+    :ivar discard_from: source addresses whose data is read and dropped in both directions.
     """
 
     def __init__(self) -> None:
         self.target: tuple[str, int] | None = None
         self.cut_from: set[str] = set()
-        self.swallow_from: set[str] = set()
+        self.discard_from: set[str] = set()
         self._server: asyncio.Server | None = None
-        self._pipes: set[_Pipe] = set()
+        self._connections: set[_RelayedConnection] = set()
         self.url = ""
 
     async def open(self) -> str:
@@ -35,61 +35,65 @@
         self.target = (host, int(port))
 
     def cut(self, source: str) -> None:
-        """Close and refuse all connections from an address."""
+        """Abort the open connections from an address and refuse new ones."""
         self.cut_from.add(source)
-        for pipe in list(self._pipes):
-            if pipe.source == source:
-                pipe.close()
+        for connection in list(self._connections):
+            if connection.source == source:
+                connection.close()
 
     def heal(self, source: str) -> None:
-        """Let connections from an address through again; what was swallowed stays lost."""
+        """Forward connections from an address again; dropped data stays lost."""
         self.cut_from.discard(source)
-        self.swallow_from.discard(source)
+        self.discard_from.discard(source)
 
     def silence_open_connections(self) -> int:
-        """Swallow what goes over the connections open now; new ones work."""
-        for pipe in self._pipes:
-            pipe.is_silent = True
-        return len(self._pipes)
+        """Drop all data of the connections open now and return their number.
+
+        New connections are forwarded.
+        """
+        for connection in self._connections:
+            connection.is_silent = True
+        return len(self._connections)
 
     async def close(self) -> None:
-        """Stop listening and close all."""
+        """Stop listening and abort all connections."""
         self._server.close()
-        for pipe in list(self._pipes):
-            pipe.close()
+        for connection in list(self._connections):
+            connection.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         source = writer.get_extra_info("peername")[0]
         if source in self.cut_from or self.target is None:
             writer.transport.abort()
             return
-        pipe = _Pipe(relay=self, source=source, writer=writer)
-        self._pipes.add(pipe)
+        connection = _RelayedConnection(relay=self, source=source, writer=writer)
+        self._connections.add(connection)
         try:
-            far_reader, pipe.far_writer = await asyncio.open_connection(*self.target)
+            target_reader, connection.target_writer = await asyncio.open_connection(*self.target)
             await asyncio.gather(
-                pipe.forward(reader, pipe.far_writer), pipe.forward(far_reader, writer)
+                connection.forward(reader, connection.target_writer),
+                connection.forward(target_reader, writer),
             )
         except OSError:
             pass
         finally:
-            pipe.close()
-            self._pipes.discard(pipe)
+            connection.close()
+            self._connections.discard(connection)
 
 
-class _Pipe:
+class _RelayedConnection:
     """One connection through the relay."""
 
     def __init__(self, *, relay: Relay, source: str, writer: asyncio.StreamWriter):
         self.source = source
         self.is_silent = False
-        self.far_writer: asyncio.StreamWriter | None = None
+        self.target_writer: asyncio.StreamWriter | None = None
         self._relay = relay
         self._writer = writer
 
     async def forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while chunk := await reader.read(CHUNK):
-            if self.is_silent or self.source in self._relay.swallow_from:
+        while chunk := await reader.read(CHUNK_BYTES):
+            if self.is_silent or self.source in self._relay.discard_from:
                 continue
             writer.write(chunk)
             await writer.drain()
@@ -97,6 +101,6 @@
             writer.close()
 
     def close(self) -> None:
-        for writer in (self._writer, self.far_writer):
+        for writer in (self._writer, self.target_writer):
             if writer is not None:
                 writer.transport.abort()
--- a/zincwell/adapters/__init__.py
+++ b/zincwell/adapters/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters that serve the ports over HTTP with JSON, and the system's clock."""
+"""Implementations of the ports: HTTP with JSON, and the system clock."""
 
 from zincwell.adapters._clock import SystemClock
 from zincwell.adapters._peer import HttpPeerTransport
--- a/zincwell/adapters/_peer.py
+++ b/zincwell/adapters/_peer.py
@@ -1,4 +1,4 @@
-"""Messages between entries over HTTP."""
+"""HTTP transport between entries."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def key_headers(key: str) -> dict[str, str]:
-    """Return the headers that prove the shared key; none for an empty key."""
+    """Return the headers that carry the shared key; none for an empty key."""
     return {KEY_HEADER: key} if key else {}
 
 
 class HttpPeerTransport(PeerTransport):
-    """Peers reached by POST at their listener for peers.
+    """Sends messages to the peers' listener of another entry by POST.
 
-    :param key: shared key that each call proves; empty for none.
+    :param key: shared key that each request carries; empty for none.
     """
 
     def __init__(self, *, session: aiohttp.ClientSession, key: str):
@@ -27,7 +27,10 @@
         self._headers = key_headers(key)
 
     async def call(self, *, url: str, path: str, body: bytes, timeout_s: float) -> bytes:
-        """Send one message and return the answer."""
+        """Send one message and return the body of the response.
+
+        :raises PeerUnavailableError: if there is no response in time or its status is not 200.
+        """
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         try:
             async with self._session.post(
@@ -37,5 +40,5 @@
         except NETWORK_ERRORS as error:
             raise PeerUnavailableError(f"{url}{path}: {error!r}") from error
         if response.status != HTTP_OK:
-            raise PeerUnavailableError(f"{url}{path} answered {response.status}")
+            raise PeerUnavailableError(f"{url}{path} returned HTTP status {response.status}")
         return raw
--- a/zincwell/adapters/_tls.py
+++ b/zincwell/adapters/_tls.py
@@ -1,4 +1,4 @@
-"""Which certificates a client of ours trusts."""
+"""TLS settings of HTTP clients."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def make_client_tls(ca_file: str) -> ssl.SSLContext | bool:
-    """Return what aiohttp takes as ``ssl``: a context that trusts a file, or the default.
+    """Return the ``ssl`` argument for aiohttp: a context, or True for its default.
 
-    :param ca_file: certificates in PEM; empty for those of the operating system.
+    :param ca_file: PEM file with the trusted certificates; empty for those of the system.
     :raises SettingsError: if the file can't be read or holds no certificate.
     """
     if not ca_file:
--- a/zincwell/adapters/_worker.py
+++ b/zincwell/adapters/_worker.py
@@ -1,4 +1,4 @@
-"""Workers over HTTP; tasks' events come as a stream of JSON lines."""
+"""HTTP transport to workers; events of tasks arrive as a stream of JSON lines."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 CALL_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
-IDLE_CONNECTION_S = 10.0
+KEEP_ALIVE_S = 10.0
 MAX_LINE_BYTES = 8 * 1024 * 1024
 FINAL_KINDS = frozenset(
     {
@@ -31,7 +31,7 @@
 
 
 class LeaseCall(Struct, frozen=True):
-    """Ask for a lease or renew it."""
+    """Request or renew a lease."""
 
     entry: str
     ttl_s: float
@@ -46,7 +46,11 @@
 
 
 class WatchCall(Struct, frozen=True):
-    """Ask what became of tasks."""
+    """Request the events of tasks sent earlier.
+
+    :param fence: whether the worker must refuse for good the ids that it has not seen.
+    :param run: run of the worker's process that the tasks were sent to.
+    """
 
     ids: list[str]
     fence: bool
@@ -60,12 +64,14 @@
 
 
 class HttpWorkerTransport(WorkerTransport):
-    """One worker behind a base URL.
-
-    :param accept_silence_s: silence allowed before the first event of a stream.
-    :param stream_silence_s: silence allowed later; workers send a beat well within it.
-    :param local_address: address that connections come from; any if not given.
-    :param headers: sent with each call.
+    """HTTP connection to one worker.
+
+    :param url: base URL of the worker.
+    :param accept_silence_s: timeout in seconds for the first event of a stream.
+    :param stream_silence_s: timeout in seconds between later events; workers send heartbeats at
+        a much shorter interval.
+    :param local_address: source address of connections; chosen by the system if not given.
+    :param headers: headers of each request.
     """
 
     def __init__(
@@ -81,43 +87,54 @@
         self._accept_silence_s = accept_silence_s
         self._stream_silence_s = stream_silence_s
         self._session = _open_session(
-            aiohttp.TCPConnector(
-                limit=0, keepalive_timeout=IDLE_CONNECTION_S, local_addr=local_address
-            ),
+            aiohttp.TCPConnector(limit=0, keepalive_timeout=KEEP_ALIVE_S, local_addr=local_address),
             headers,
         )
-        # What tells a silent connection from a silent worker has to be a new connection.
+        # Only a new connection can tell a dead connection from a dead worker.
         self._fresh_session = _open_session(
             aiohttp.TCPConnector(limit=0, force_close=True, local_addr=local_address), headers
         )
 
     async def lease(self, *, entry: str, ttl_s: float) -> WorkerLease:
-        """Ask for a lease, or renew it, always on a new connection."""
+        """Request or renew a lease on a new connection.
+
+        :raises WorkerError: if there is no valid response.
+        """
         raw = await self._call("/leases", LeaseCall(entry=entry, ttl_s=ttl_s))
         return _decode(raw, WorkerLease)
 
     async def start(
         self, *, entry: str, lease: str, tasks: list[Start]
     ) -> AsyncIterator[WorkerEvent]:
-        """Start tasks and yield what becomes of them."""
+        """Start tasks and yield their events until each task has a final one.
+
+        :raises WorkerUnreachableError: if no connection was made, so that nothing was sent.
+        :raises WorkerConnectionError: if the request may have been sent.
+        """
         call = StartCall(entry=entry, lease=lease, tasks=tasks)
         events = self._stream(self._session, "/starts", call, {task.id for task in tasks})
         async for event in events:
             yield event
 
     async def watch(self, *, ids: list[str], fence: bool, run: str) -> AsyncIterator[WorkerEvent]:
-        """Ask on a new connection what became of tasks."""
+        """Yield the events of tasks sent earlier, read on a new connection.
+
+        :raises WorkerError: if there is no response or the stream breaks.
+        """
         call = WatchCall(ids=ids, fence=fence, run=run)
         async for event in self._stream(self._fresh_session, "/watches", call, set(ids)):
             yield event
 
     async def stop(self, *, ids: list[str]) -> list[WorkerEvent]:
-        """Stop tasks."""
+        """Stop tasks and return their events.
+
+        :raises WorkerError: if there is no valid response.
+        """
         raw = await self._call("/stops", StopCall(ids=ids))
         return _decode(raw, list[WorkerEvent])
 
     async def close(self) -> None:
-        """Release the connections."""
+        """Close all connections."""
         await self._session.close()
         await self._fresh_session.close()
 
@@ -132,11 +149,11 @@
         except NETWORK_ERRORS as error:
             raise WorkerConnectionError(f"{path}: {error!r}") from error
         if response.status != HTTP_OK:
-            raise WorkerError(f"{path} answered {response.status}")
+            raise WorkerError(f"{path} returned HTTP status {response.status}")
         return raw
 
     async def _stream(
-        self, session: aiohttp.ClientSession, path: str, message: Struct, open_ids: set[str]
+        self, session: aiohttp.ClientSession, path: str, message: Struct, pending_ids: set[str]
     ) -> AsyncIterator[WorkerEvent]:
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         body = msgspec.json.encode(message)
@@ -145,12 +162,12 @@
                 response = await session.post(self._url + path, data=body, timeout=timeout)
             async with response:
                 if response.status != HTTP_OK:
-                    raise WorkerConnectionError(f"{path} answered {response.status}")
+                    raise WorkerConnectionError(f"{path} returned HTTP status {response.status}")
                 silence_s = self._accept_silence_s
-                while open_ids:
+                while pending_ids:
                     event = await _read_event(response, silence_s)
                     silence_s = self._stream_silence_s
-                    _close_id(event, open_ids)
+                    _remove_finished(event, pending_ids)
                     yield event
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise WorkerUnreachableError(f"{path}: {error!r}") from error
@@ -159,25 +176,34 @@
 
 
 async def _read_event(response: aiohttp.ClientResponse, silence_s: float) -> WorkerEvent:
-    """Read one line; a cut or truncated one counts as a lost connection."""
+    """Read one line of a stream.
+
+    :raises WorkerConnectionError: if the line is incomplete or its output is truncated.
+    """
     async with asyncio.timeout(silence_s):
         line = await response.content.readline()
     if not line.endswith(b"\n"):
-        raise WorkerConnectionError("the stream ended before every task was final")
+        raise WorkerConnectionError("the stream ended before each task had a final event")
     event = msgspec.json.decode(line, type=WorkerEvent)
     if event.kind is EventKind.COMPLETED and len(bytes(event.output)) != event.length:
-        raise WorkerConnectionError(f"the output of {event.id} has not its stated length")
+        raise WorkerConnectionError(f"the output of task {event.id} differs from its stated length")
     return event
 
 
-def _close_id(event: WorkerEvent, open_ids: set[str]) -> None:
-    """Note a final event; an id that was not asked for means crossed answers."""
+def _remove_finished(event: WorkerEvent, pending_ids: set[str]) -> None:
+    """Remove the task of a final event.
+
+    :raises WorkerConnectionError: if the task is not pending on this stream, which means that
+        the stream carries the response to another request.
+    """
     if event.kind is EventKind.BEAT:
         return
     if event.kind in FINAL_KINDS:
-        if event.id not in open_ids:
-            raise WorkerConnectionError(f"an answer for {event.id}, which is not open here")
-        open_ids.discard(event.id)
+        if event.id not in pending_ids:
+            raise WorkerConnectionError(
+                f"received an event of task {event.id}, which is not pending on this stream"
+            )
+        pending_ids.discard(event.id)
 
 
 def _open_session(
@@ -190,4 +216,4 @@
     try:
         return msgspec.json.decode(raw, type=type_)
     except msgspec.MsgspecError as error:
-        raise WorkerError(f"malformed answer: {error}") from error
+        raise WorkerError(f"malformed response: {error}") from error
--- a/zincwell/ports.py
+++ b/zincwell/ports.py
@@ -1,6 +1,6 @@
-"""Ports: what zincwell asks of the world, as abstract base classes.
+"""Ports: abstract base classes of the external services that zincwell depends on.
 
-Adapters over HTTP are in ``zincwell.adapters``; the protocols are in docs/protocols.md.
+``zincwell.adapters`` implements them over HTTP; docs/protocols.md describes the protocols.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class Clock(abc.ABC):
-    """Source of time."""
+    """Source of monotonic and wall-clock time."""
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Return seconds that never go back and count while the VM is suspended."""
+        """Return seconds that never decrease and that advance while the VM is suspended."""
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Return seconds since 1970."""
+        """Return seconds since the Unix epoch (1970)."""
 
 
 class Record(Struct, frozen=True):
-    """One record of the log."""
+    """One record of a log stream."""
 
     offset: int
     value: dict[str, Any]
@@ -41,30 +41,33 @@
     async def append(self, *, stream: str, value: dict[str, Any]) -> int:
         """Append a record and return its offset.
 
-        :raises LogUnavailableError: if no answer came; the record may be there all the same.
+        :raises LogUnavailableError: if the append was not confirmed; the record may have been
+            stored.
         """
 
     @abc.abstractmethod
     async def read(self, *, stream: str, start: int, wait_s: float) -> list[Record]:
-        """Return the records from an offset on, waiting for one if there is none yet.
+        """Return the records from an offset on, waiting up to ``wait_s`` if there is none.
 
-        :raises LogUnavailableError: if no answer came.
-        :raises RecordsExpiredError: if the offset is no longer kept.
+        :raises LogUnavailableError: if there is no response.
+        :raises RecordsExpiredError: if the offset is no longer stored.
         """
 
 
 class VmState(enum.StrEnum):
-    """State of a VM in the platform's list."""
+    """State of a VM in the platform's directory."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Vm(Struct, frozen=True, kw_only=True):
-    """One row of the platform's list of VMs.
+    """One VM of the platform's directory.
 
+    :param vm: name of the VM.
     :param role: ``entry`` or ``worker``.
-    :param url: base URL; of an entry, of its listener for peers.
+    :param domain: failure domain.
+    :param url: base URL of a worker, or of an entry's listener for peers.
     """
 
     vm: str
@@ -80,22 +83,24 @@
 
 
 class VmDirectory(abc.ABC):
-    """The platform's lagging list of VMs."""
+    """The platform's directory of VMs; its contents may be out of date."""
 
     @abc.abstractmethod
     async def list_vms(self) -> list[Vm]:
-        """Return all rows.
+        """Return all VMs.
 
-        :raises DirectoryUnavailableError: if no answer came.
+        :raises DirectoryUnavailableError: if there is no response.
         """
 
 
 class WorkerLease(Struct, frozen=True, kw_only=True):
-    """A worker's permission to start tasks on it.
+    """Lease under which an entry may start tasks on a worker.
 
-    :param ttl_s: lifetime in seconds from when it was asked for.
-    :param running: tasks that it runs now, of all entries.
-    :param run: names this run of the worker's process; another run knows nothing of its tasks.
+    :param ttl_s: lifetime in seconds, counted from when the lease was requested.
+    :param running: number of tasks that the worker runs now, for all entries.
+    :param run: id of the current run of the worker's process; tasks sent to one run are unknown
+        to another.
+    :param leaving: whether the worker is about to leave and takes no new tasks.
     """
 
     lease: str
@@ -109,7 +114,7 @@
 class Start(Struct, frozen=True, kw_only=True, omit_defaults=True):
     """One task as sent to a worker.
 
-    :param id: names the task at this placement; a worker starts an id once.
+    :param id: id of this placement of the task; a worker starts each id at most once.
     """
 
     id: str
@@ -119,10 +124,10 @@
 
 
 class EventKind(enum.StrEnum):
-    """What a worker says of a task.
+    """Kind of a worker's event.
 
-    ``lost``: nobody can know the outcome. Said by a worker of a task that was sent to an earlier
-    run of it, and by an entry that runs a task for another.
+    ``lost`` means that the outcome can't be known. A worker reports it for a task that was sent
+    to an earlier run of its process, and so does an entry that runs a task for another entry.
     """
 
     ACCEPTED = "accepted"
@@ -137,10 +142,10 @@
 
 
 class WorkerEvent(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One line of a worker's stream.
+    """One line of a worker's event stream.
 
-    :param length: length of ``output`` in bytes, to tell a truncated one.
-    :param running: tasks that the worker runs now, of all entries.
+    :param length: length of ``output`` in bytes, to detect a truncated output.
+    :param running: number of tasks that the worker runs now, for all entries.
     """
 
     kind: EventKind
@@ -152,51 +157,53 @@
 
 
 class WorkerTransport(abc.ABC):
-    """The way to one worker."""
+    """Connection to one worker."""
 
     @abc.abstractmethod
     async def lease(self, *, entry: str, ttl_s: float) -> WorkerLease:
-        """Ask for a lease, or renew it.
+        """Request or renew a lease.
 
-        :raises WorkerError: if there is no answer.
+        :raises WorkerError: if there is no valid response.
         """
 
     @abc.abstractmethod
     def start(self, *, entry: str, lease: str, tasks: list[Start]) -> AsyncIterator[WorkerEvent]:
-        """Start tasks and yield what becomes of them until each is final.
+        """Start tasks and yield their events until each task has a final one.
 
         :raises WorkerUnreachableError: if nothing was sent.
-        :raises WorkerConnectionError: if bytes may have left.
+        :raises WorkerConnectionError: if the request may have been sent.
         """
 
     @abc.abstractmethod
     def watch(self, *, ids: list[str], fence: bool, run: str) -> AsyncIterator[WorkerEvent]:
-        """Ask on a new connection what became of tasks and yield until each is final.
+        """Yield the events of tasks sent earlier until each has a final one.
+
+        The events are read on a new connection.
 
         :param fence: make the worker refuse for good the ids that it has not seen.
-        :param run: run of the worker that the tasks were sent to; of ids sent to another run
-            it says ``lost``.
-        :raises WorkerError: if there is no answer or it breaks.
+        :param run: run of the worker's process that the tasks were sent to; another run reports
+            them as ``lost``.
+        :raises WorkerError: if there is no response or the stream breaks.
         """
 
     @abc.abstractmethod
     async def stop(self, *, ids: list[str]) -> list[WorkerEvent]:
-        """Stop tasks; an unknown id is fenced.
+        """Stop tasks and return their events; an unknown id is fenced.
 
-        :raises WorkerError: if there is no answer.
+        :raises WorkerError: if there is no valid response.
         """
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Release the connections."""
+        """Close all connections."""
 
 
 class PeerTransport(abc.ABC):
-    """The way to another entry."""
+    """Transport of messages to other entries."""
 
     @abc.abstractmethod
     async def call(self, *, url: str, path: str, body: bytes, timeout_s: float) -> bytes:
-        """Send one message and return the answer.
+        """Send one message and return the response.
 
-        :raises PeerUnavailableError: if there is no answer in time.
+        :raises PeerUnavailableError: if there is no response in time.
         """
