--- a/tests/samples.py
+++ b/tests/samples.py
@@ -1,4 +1,4 @@
-"""Submissions as callers send them."""
+"""Sample submissions, keys and outputs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def make_submission(
     *, key: str, tasks: int = 8, sleep_ms: float = 50, attempt: int | None = 1, **fields: Any
 ) -> dict[str, Any]:
-    """A submission of tasks that sleep and echo their number."""
+    """Return a submission of tasks that sleep and echo their number."""
     return {
         "key": key,
         "created_at": time.time(),
@@ -24,11 +24,11 @@
 
 
 def key_at(cluster: Cluster, *, domain: str, home: str) -> str:
-    """Return a key of a domain whose home is the entry named."""
+    """Return a key with a given domain and home entry."""
     keys = (f"{domain}/page-{number}" for number in range(1_000))
     return next(key for key in keys if cluster.home_of(key).vm == home)
 
 
 def echoes(answer: dict[str, Any]) -> list[Any]:
-    """Return the outputs of an answer, by task."""
+    """Return the outputs of an answer in the order of its tasks."""
     return [task.get("output") for task in answer["tasks"]]
--- a/tests/session.py
+++ b/tests/session.py
@@ -1,4 +1,4 @@
-"""Records a session as text for a golden file, with all that varies masked."""
+"""Recorder of a session as text for a golden file, with varying values masked."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Session:
-    """What went between callers and entries, in order, and what workers started."""
+    """Messages between callers and entries, in order, and the tasks that workers started."""
 
     def __init__(self) -> None:
         self._lines: list[str] = []
@@ -28,7 +28,7 @@
         self._lines.append(f"-- {text}")
 
     def ledger(self, starts: list[dict]) -> None:
-        """Note the starts; which worker and in which order differs from run to run."""
+        """Record the started tasks by name; their workers and their order vary between runs."""
         names = sorted(_text(task_name(start["id"])) for start in starts)
         self._lines.append(f"-- {len(names)} starts at the workers")
         self._lines += [f"started {name}" for name in names]
@@ -38,12 +38,12 @@
 
 
 def _text(message: Any) -> str:
-    return UUID.sub("<id>", json.dumps(_masked(message), sort_keys=True))
+    return UUID.sub("<id>", json.dumps(_mask(message), sort_keys=True))
 
 
-def _masked(value: Any) -> Any:
+def _mask(value: Any) -> Any:
     if isinstance(value, dict):
-        return {k: "<time>" if k in MASKED_FIELDS else _masked(v) for k, v in value.items()}
+        return {k: "<time>" if k in MASKED_FIELDS else _mask(v) for k, v in value.items()}
     if isinstance(value, list):
-        return [_masked(item) for item in value]
+        return [_mask(item) for item in value]
     return value
--- a/zincwell/checking.py
+++ b/zincwell/checking.py
@@ -1,7 +1,7 @@
-"""Find every fault of a value that came from outside, each with the name of its field.
+"""Validation of external values that reports every fault with the path of its field.
 
-msgspec stops at the first fault and calls an entry of a mapping ``[...]``. Operators need the
-name of the service or pool that is wrong, what is allowed there, and all faults at once.
+msgspec stops at the first fault and writes ``[...]`` for an entry of a mapping. Operators need
+all faults at once, each with the name of the service or pool and what is allowed there.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 import msgspec
 from msgspec import Struct
 
-LONGEST_SHOWN = 40
+MAX_SHOWN_LENGTH = 40
 
 
 class Fault(Struct, frozen=True, kw_only=True):
-    """One thing that is wrong.
+    """One invalid value.
 
-    :param path: names of the fields from the outermost to the one that is wrong.
+    :param path: field names from the outermost to the invalid field.
     :param message: what is allowed there.
     """
 
@@ -29,7 +29,7 @@
 
     @property
     def key(self) -> str:
-        """The path as written in a TOML file."""
+        """Return the path as written in a TOML file."""
         return ".".join(self.path)
 
     def __str__(self) -> str:
@@ -37,9 +37,11 @@
 
 
 def find_faults(value: Any, type_: Any, path: Sequence[str] = ()) -> Iterator[Fault]:
-    """Yield what keeps plain values from being of a type.
+    """Yield the faults of a decoded value.
 
-    :param type_: a struct, a mapping of names, an enumeration or any type that msgspec knows.
+    :param value: value made of plain Python types, as decoded from TOML or JSON.
+    :param type_: a struct, a mapping of names, an enumeration or any type that msgspec supports.
+    :param path: path of the value in the whole document.
     """
     path = tuple(path)
     if is_struct(type_):
@@ -53,19 +55,19 @@
 
 
 def check_value(value: Any, type_: Any) -> str:
-    """Return what is allowed if a value is not, or an empty string."""
+    """Return why a value is invalid for a type, or an empty string if it is valid."""
     try:
         msgspec.convert(value, type_)
     except msgspec.ValidationError as error:
         choices = list_choices(type_)
         if choices:
-            return f"Expected one of {', '.join(choices)}, got {_show(value)}"
-        return f"{_without_place(error)}, got {_show(value)}"
+            return f"Expected one of {', '.join(choices)}, got {_abbreviate(value)}"
+        return f"{_strip_location(error)}, got {_abbreviate(value)}"
     return ""
 
 
 def list_choices(type_: Any) -> list[str]:
-    """Return the values of an enumeration; nothing for other types."""
+    """Return the values of an enumeration or a literal type; an empty list for other types."""
     if get_origin(type_) is Literal:
         return [str(choice) for choice in get_args(type_)]
     if isinstance(type_, type) and issubclass(type_, enum.Enum):
@@ -75,18 +77,18 @@
 
 @functools.cache
 def list_fields(struct: type[Struct]) -> tuple[msgspec.structs.FieldInfo, ...]:
-    """Return the fields of a struct; msgspec finds their types anew at each call."""
+    """Return the fields of a struct, cached because msgspec resolves their types at each call."""
     return msgspec.structs.fields(struct)
 
 
 def is_struct(type_: Any) -> bool:
-    """Tell whether a type is a msgspec struct."""
+    """Return whether a type is a msgspec struct."""
     return isinstance(type_, type) and issubclass(type_, Struct)
 
 
 def _find_in_struct(value: Any, type_: Any, path: tuple[str, ...]) -> Iterator[Fault]:
     if not isinstance(value, dict):
-        yield Fault(path=path, message=f"Expected a table, got {_show(value)}")
+        yield Fault(path=path, message=f"Expected a table, got {_abbreviate(value)}")
         return
     fields = list_fields(type_)
     names = [field.encode_name for field in fields]
@@ -103,7 +105,7 @@
 
 def _find_in_mapping(value: Any, type_: Any, path: tuple[str, ...]) -> Iterator[Fault]:
     if not isinstance(value, dict):
-        yield Fault(path=path, message=f"Expected a table, got {_show(value)}")
+        yield Fault(path=path, message=f"Expected a table, got {_abbreviate(value)}")
         return
     name_type, inner_type = get_args(type_)
     for name, inner in value.items():
@@ -113,11 +115,11 @@
         yield from find_faults(inner, inner_type, (*path, name))
 
 
-def _without_place(error: msgspec.ValidationError) -> str:
-    """Return what msgspec expected, without the place and the type that it got."""
+def _strip_location(error: msgspec.ValidationError) -> str:
+    """Return what msgspec expected, without the location and the type that it got."""
     return str(error).partition(" - at `")[0].partition(", got `")[0]
 
 
-def _show(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     text = repr(value)
-    return text if len(text) <= LONGEST_SHOWN else text[:LONGEST_SHOWN] + "..."
+    return text if len(text) <= MAX_SHOWN_LENGTH else text[:MAX_SHOWN_LENGTH] + "..."
--- a/zincwell/models.py
+++ b/zincwell/models.py
@@ -1,4 +1,4 @@
-"""Messages between callers and an entry, validated on arrival by msgspec."""
+"""Messages between callers and entries, validated by msgspec when decoded."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from zincwell.exceptions import BadRequestError
 
-#: Stands for an absent JSON value, and is left out when a message is encoded.
+#: Placeholder for an absent JSON value; omitted when a message is encoded.
 NO_VALUE = Raw(b"null")
 MAX_TASKS = 1_200
 MAX_KEY_LENGTH = 200
@@ -23,7 +23,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What became of a task, a job or a request; a closed set."""
+    """Final outcome of a task, a job or a request; a closed set of values."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -32,10 +32,10 @@
 
 
 class TaskSpec(Struct, frozen=True, forbid_unknown_fields=True):
-    """One task as its caller declares it.
+    """One task of a submission.
 
-    :param payload: any JSON value, handed to the worker as it is.
-    :param run_ms: declared run time in milliseconds; a hint that is often far off.
+    :param payload: any JSON value, passed to the worker unchanged.
+    :param run_ms: declared run time in milliseconds; a hint that is often inaccurate.
     :param memory_mb: declared memory in MB; a task that fits no worker is refused.
     """
 
@@ -47,16 +47,17 @@
 class Submission(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A job of 1 to 1,200 tasks, each started at most once.
 
-    :param key: idempotency key; ``domain/...`` gives it a home in that failure domain.
-    :param created_at: when the key was made, in seconds since 1970, the same at each resend.
-    :param attempt: number of the attempt, from 1; left out where the caller does not count.
-    :param never_run: every earlier attempt with the key was answered ``not_run``, or there was
-        none. An attempt that was not answered at all may have run.
-    :param sent_at: when this attempt was sent, by the same clock as ``created_at``, which
-        counts if it is left out. A caller that has sent a later attempt no longer goes by the
-        answer to this one.
-    :param urgency: class by which admission and metrics tell jobs apart.
-    :param deadline_ms: milliseconds from arrival until the caller has no more use for it.
+    :param key: idempotency key; the prefix ``domain/`` places its home in that failure domain.
+    :param created_at: when the key was made, in seconds since the Unix epoch (1970); the same in
+        each resubmission.
+    :param attempt: number of the attempt, from 1; absent if the caller does not count attempts.
+    :param never_run: whether every earlier attempt with the key, if any, was answered
+        ``not_run``. An attempt without an answer may have run.
+    :param sent_at: when this attempt was sent, by the same clock as ``created_at``, which is
+        used if this is absent. A caller that has sent a later attempt ignores the answer to
+        this one.
+    :param urgency: urgency class, used by admission control and metrics.
+    :param deadline_ms: milliseconds from arrival until the caller no longer needs the result.
     """
 
     key: Key
@@ -72,9 +73,9 @@
 
 
 class Request(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A single call.
+    """A single call of a service.
 
-    :param idempotent: whether a second start does no harm; only then is it ever retried.
+    :param idempotent: whether a second start does no harm; only then may it be retried.
     """
 
     tenant: Name
@@ -88,7 +89,7 @@
 
 
 class TaskAnswer(Struct, frozen=True, omit_defaults=True, kw_only=True):
-    """What became of one task; ``output`` only in a completed answer."""
+    """Result of one task; ``output`` is set only for a completed one."""
 
     index: int
     outcome: Outcome
@@ -96,17 +97,17 @@
     output: Raw = NO_VALUE
 
     def json(self) -> Any:
-        """Return the output as Python values; None if there is none."""
+        """Return the decoded output; None if there is none."""
         return msgspec.json.decode(self.output)
 
 
 class Answer(Struct, frozen=True, omit_defaults=True, kw_only=True):
-    """The whole answer to a submission or a request, also the shape of every error.
+    """Answer to a submission or a request; errors have the same form.
 
-    :param outcome: completed, failed, not_run or outcome_unknown; absent in a 4xx or 202.
-    :param reason: short code for what happened, listed in the operators' guide.
-    :param detail: the same for a reader.
-    :param retry_after_ms: when coming back helps, in milliseconds; absent when it does not.
+    :param outcome: completed, failed, not_run or outcome_unknown; absent with status 4xx or 202.
+    :param reason: code of the reason, listed in the operators' guide.
+    :param detail: the reason as text.
+    :param retry_after_ms: milliseconds after which to retry; absent if a retry does not help.
     """
 
     key: str = ""
@@ -123,25 +124,25 @@
 
 
 def decode_submission(body: bytes) -> Submission:
-    """Read a submission.
+    """Decode a submission.
 
-    :raises BadRequestError: naming the field that is wrong.
+    :raises BadRequestError: if it is invalid; the message names the field.
     """
     return _decode(_submission_decoder, body)
 
 
 def decode_request(body: bytes) -> Request:
-    """Read a single request.
+    """Decode a single request.
 
-    :raises BadRequestError: naming the field that is wrong.
+    :raises BadRequestError: if it is invalid; the message names the field.
     """
     return _decode(_request_decoder, body)
 
 
 def decode_answer(body: bytes) -> Answer:
-    """Read an answer.
+    """Decode an answer.
 
-    :raises BadRequestError: if it is not one.
+    :raises BadRequestError: if it is invalid.
     """
     return _decode(_answer_decoder, body)
 
