--- a/zincwell/__init__.py
+++ b/zincwell/__init__.py
@@ -1,4 +1,4 @@
-"""zincwell: a dispatcher for sub-second tasks that owns the outcome.
+"""zincwell: a dispatcher for sub-second tasks that reports the outcome of every job.
 
 >>> with zincwell.BlockingClient(urls=["http://127.0.0.1:7000"], tenant="school") as client:
 ...     answer = client.submit("transcriber", [{"page": 1}, {"page": 2}])
@@ -43,10 +43,10 @@
 
 
 def __getattr__(name: str) -> object:
-    """Return a public name, importing its module at first use.
+    """Return a public name, importing its module on first use.
 
-    An entry imports this package at its start and needs no client. While all entries start again,
-    each tenth of a second counts.
+    An entry imports this package but does not need the client. Importing it lazily saves start-up
+    time, which matters while all entries restart.
     """
     module = _MODULE_BY_NAME.get(name)
     if module is None:
--- a/zincwell/_call_errors.py
+++ b/zincwell/_call_errors.py
@@ -1,4 +1,4 @@
-"""What went wrong with a call, in a sentence for the person who made it."""
+"""Describe the errors of HTTP calls to users."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 def describe_call_error(error: Exception) -> str:
-    """Return what a failed call means and what to look at.
+    """Return a message that says why a call failed and what to check.
 
-    The errors of the HTTP library name its own connection keys, not what a person can do.
+    The messages of aiohttp show its internal connection keys, which do not help a user.
     """
     if isinstance(error, aiohttp.ClientConnectorError):
         if isinstance(error.os_error, ConnectionRefusedError):
             return "connection refused: nothing listens there; check host and port"
-        return f"not connected: {error.os_error.strerror or error.os_error}"
+        return f"connection failed: {error.os_error.strerror or error.os_error}"
     if isinstance(error, TimeoutError):
-        return "no answer in time"
+        return "timed out waiting for an answer"
     if isinstance(error, aiohttp.ServerDisconnectedError | ConnectionResetError):
-        return "the connection was closed before an answer came"
+        return "the server closed the connection before it answered"
     return str(error) or type(error).__name__
--- a/zincwell/client.py
+++ b/zincwell/client.py
@@ -1,6 +1,6 @@
-"""Client for callers: submits jobs and resubmits them safely.
+"""Client for callers: submits jobs and retries them safely.
 
-The same key goes with each attempt, so that no task starts twice however often a job is sent.
+All attempts carry the same idempotency key, so no task starts twice however often a job is sent.
 """
 
 from __future__ import annotations
@@ -32,31 +32,31 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-LONGEST_PAUSE_S = 5.0
-SHORTEST_PAUSE_S = 0.05
+MAX_BACKOFF_S = 5.0
+MIN_BACKOFF_S = 0.05
 CLOCK_TTL_S = 60.0
 NETWORK_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
 @dataclass(frozen=True, kw_only=True)
 class _EntryClock:
-    """An entry's clock and domain as read at a moment of our monotonic clock."""
+    """An entry's time and domain, with the local monotonic time at which they were read."""
 
     wall: float
     domain: str
     read_at: float
 
     def now(self) -> float:
-        """Return a lower bound of the entry's time now."""
+        """Return a lower bound of the entry's current time."""
         return self.wall + time.monotonic() - self.read_at
 
 
 @dataclass(frozen=True, kw_only=True)
 class JobKey:
-    """An idempotency key with the time at which it was made, by the entries' clock.
+    """An idempotency key and its creation time by the entries' clock.
 
-    Keep both to come back for the answer later, from another process too. The time tells an
-    entry whether all that may have run under the key is still known.
+    Store both to fetch the answer later, also from another process. The creation time tells an
+    entry whether it still remembers every run that the key may have had.
     """
 
     key: str
@@ -66,15 +66,15 @@
 class Client:
     """Asynchronous client.
 
-    :param urls: base URLs of entries, or of the balancer before them.
-    :param tenant: the customer that the work is done for.
+    :param urls: base URLs of entries, or of a load balancer in front of them.
+    :param tenant: the customer on whose behalf the work runs.
 
     Use it as an asynchronous context manager.
     """
 
     def __init__(self, *, urls: Sequence[str], tenant: str):
         if not urls:
-            raise ClientError("no URL given")
+            raise ClientError("urls is empty: expected at least one base URL of an entry")
         self._urls = list(urls)
         self._tenant = tenant
         self._clock: _EntryClock | None = None
@@ -100,19 +100,19 @@
         run_ms: int = 0,
         key: JobKey | None = None,
     ) -> Answer:
-        """Run one task for each payload and return the whole answer.
+        """Run one task per payload and return the answer of the whole job.
 
-        :param payloads: JSON values, one a task.
-        :param deadline_s: seconds after which the answer is of no more use.
+        :param payloads: JSON values, one per task.
+        :param deadline_s: seconds after which the answer is no longer needed.
         :param run_ms: declared run time of a task in milliseconds, if known.
-        :param key: key from :meth:`make_key`, to come back for the answer of an earlier
-            submit or to be able to; made here otherwise.
-        :returns: an answer; look at its ``outcome`` before its tasks.
-        :raises ClientError: if no entry can be reached before the deadline.
-        :raises BadRequestError: if the submission itself is refused as malformed.
+        :param key: key from :meth:`make_key`, to fetch the answer of an earlier submission or
+            to allow that later; a new key unless given.
+        :returns: an answer; check its ``outcome`` before its tasks.
+        :raises ClientError: if no entry can be reached to create a key.
+        :raises BadRequestError: if the submission is refused as malformed.
         """
         job_key = key or await self.make_key()
-        tasks = [TaskSpec(payload=_raw(payload), run_ms=run_ms) for payload in payloads]
+        tasks = [TaskSpec(payload=_encode_payload(payload), run_ms=run_ms) for payload in payloads]
         submission = Submission(
             key=job_key.key,
             created_at=job_key.created_at,
@@ -127,9 +127,9 @@
         return await self._submit_until(submission, time.monotonic() + deadline_s, is_new)
 
     async def make_key(self) -> JobKey:
-        """Make a new key.
+        """Create a new key.
 
-        :raises ClientError: if no entry can be reached to ask for its time.
+        :raises ClientError: if no entry can be reached to read its clock.
         """
         clock = await self._entry_clock()
         key = f"{clock.domain}/{uuid.uuid4().hex}"
@@ -145,14 +145,18 @@
         urgency: str = "normal",
         deadline_s: float = DEFAULT_DEADLINE_MS / 1000,
     ) -> Answer:
-        """Make a single call; it is sent once, and not again if the connection is lost.
+        """Make a single call; the client sends it once and never retries it.
+
+        :param payload: a JSON value.
+        :param idempotent: whether the entry may start the task again after a failure.
+        :param deadline_s: seconds after which the answer is no longer needed.
 
         :raises ClientError: if no entry can be reached.
         """
         message = Request(
             tenant=self._tenant,
             service=service,
-            payload=_raw(payload),
+            payload=_encode_payload(payload),
             idempotent=idempotent,
             urgency=urgency,
             deadline_ms=max(1, round(deadline_s * 1000)),
@@ -162,6 +166,8 @@
     async def cancel(self, key: str) -> Answer:
         """Cancel a submission.
 
+        :param key: the ``key`` of its :class:`JobKey`.
+
         :raises ClientError: if no entry can be reached.
         """
         url = random.choice(self._urls) + "/v1/submissions"
@@ -173,56 +179,62 @@
             raise ClientError(f"{url}: {describe_call_error(error)}") from error
 
     async def _submit_until(
-        self, submission: Submission, give_up_at: float, is_new: bool
+        self, submission: Submission, give_up_time: float, is_new: bool
     ) -> Answer:
-        """Send until there is a final answer.
+        """Retry until there is a final answer or the deadline has passed.
+
+        For a key created and first sent by this client, attempts are numbered and state whether
+        all earlier ones were answered ``not_run``. For any other key the earlier attempts are
+        unknown: no number is sent, and ``never_run`` is false.
 
-        Attempts with a key made and first sent here are counted, and say whether all before
-        them were answered ``not_run``. Of another key nobody knows what was sent before.
+        :param give_up_time: monotonic time after which no further attempt is made.
+        :param is_new: whether this client created the key and has not sent it before.
         """
         attempt, never_run = 1, is_new
         tries = 0
         while True:
             tries += 1
-            left_s = give_up_at - time.monotonic()
+            remaining_s = give_up_time - time.monotonic()
             message = msgspec.structs.replace(
                 submission,
                 attempt=attempt if is_new else None,
                 never_run=never_run,
-                sent_at=self._stated_time(),
-                deadline_ms=max(1, round(left_s * 1000)),
+                sent_at=self._entry_time(),
+                deadline_ms=max(1, round(remaining_s * 1000)),
             )
-            answer, was_sent = await self._try(message, left_s)
+            answer, was_sent = await self._send_attempt(message, remaining_s)
             if answer is not None and answer.outcome is None:
                 raise BadRequestError(f"{answer.reason}: {answer.detail}")
-            pause_s = _pause_s(answer, tries)
-            if pause_s is None:
+            backoff_s = _backoff_s(answer, tries)
+            if backoff_s is None:
                 return answer
-            if time.monotonic() + pause_s >= give_up_at:
+            if time.monotonic() + backoff_s >= give_up_time:
                 return answer or Answer(
                     key=submission.key, outcome=Outcome.OUTCOME_UNKNOWN, reason="no_answer"
                 )
-            await asyncio.sleep(pause_s)
+            await asyncio.sleep(backoff_s)
             if was_sent:
                 attempt += 1
                 never_run &= _has_not_run(answer)
 
-    def _stated_time(self) -> float | None:
-        """Return the entries' time now, as far as we know it."""
+    def _entry_time(self) -> float | None:
+        """Return the estimated time of the entries, or None if no clock has been read."""
         return None if self._clock is None else round(self._clock.now(), 3)
 
-    async def _try(self, message: Submission, left_s: float) -> tuple[Answer | None, bool]:
-        """Return the answer, if there is one, and whether anything may have been sent."""
+    async def _send_attempt(
+        self, message: Submission, remaining_s: float
+    ) -> tuple[Answer | None, bool]:
+        """Send one attempt; return its answer, if any, and whether it may have been sent."""
         try:
-            return await self._send("/v1/submissions", message, left_s), True
+            return await self._send("/v1/submissions", message, remaining_s), True
         except NotSentError:
             return None, False
         except ClientError:
             return None, True
 
-    async def _send(self, path: str, message: Submission | Request, left_s: float) -> Answer:
+    async def _send(self, path: str, message: Submission | Request, remaining_s: float) -> Answer:
         url = random.choice(self._urls) + path
-        timeout = aiohttp.ClientTimeout(total=max(left_s, 0.1), sock_connect=CONNECT_TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=max(remaining_s, 0.1), sock_connect=CONNECT_TIMEOUT_S)
         body = msgspec.json.encode(message)
         try:
             async with self._session.post(url, data=body, timeout=timeout) as response:
@@ -233,7 +245,7 @@
             raise ClientError(f"{url}: {describe_call_error(error)}") from error
 
     async def _entry_clock(self) -> _EntryClock:
-        """Return an entry's clock, so that a wrong clock here does no harm to our keys."""
+        """Return an entry's clock, so that keys do not depend on the local wall clock."""
         if self._clock is not None and time.monotonic() - self._clock.read_at < CLOCK_TTL_S:
             return self._clock
         errors = []
@@ -253,7 +265,10 @@
 
 
 class BlockingClient:
-    """Client for programs without an event loop; takes the same arguments as ``Client``."""
+    """Synchronous client, with the same arguments as ``Client``.
+
+    Runs an event loop in a thread of its own; use it as a context manager or call :meth:`close`.
+    """
 
     def __init__(self, *, urls: Sequence[str], tenant: str):
         self._loop = asyncio.new_event_loop()
@@ -269,11 +284,11 @@
         self.close()
 
     def submit(self, service: str, payloads: Sequence[Any], **options: Any) -> Answer:
-        """Run one task for each payload; see :meth:`Client.submit`."""
+        """Run one task per payload; see :meth:`Client.submit`."""
         return self._call(self._client.submit(service, payloads, **options))
 
     def make_key(self) -> JobKey:
-        """Make a new key; see :meth:`Client.make_key`."""
+        """Create a new key; see :meth:`Client.make_key`."""
         return self._call(self._client.make_key())
 
     def request(self, service: str, payload: Any, **options: Any) -> Answer:
@@ -285,7 +300,7 @@
         return self._call(self._client.cancel(key))
 
     def close(self) -> None:
-        """Release the connections and the thread."""
+        """Close the connections and stop the thread."""
         self._call(self._client.__aexit__())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
@@ -295,29 +310,30 @@
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result()
 
 
-def _raw(payload: Any) -> Raw:
+def _encode_payload(payload: Any) -> Raw:
     return Raw(msgspec.json.encode(payload))
 
 
 def _has_not_run(answer: Answer | None) -> bool:
-    """Tell whether an answer leaves it as it was that the key has never run.
+    """Return whether an answer confirms that the attempt ran nothing.
 
-    ``stale`` says that the attempt came too late for the entry to rely on its statement; a
-    client that sends one attempt at a time knows that nothing came in between.
+    ``stale`` means that the attempt arrived too late for the entry to rely on its ``never_run``.
+    A client that sends one attempt at a time knows that none ran in between.
     """
     if answer is None:
         return False
     return answer.outcome is Outcome.NOT_RUN or answer.reason == "stale"
 
 
-def _pause_s(answer: Answer | None, tries: int) -> float | None:
-    """Return how long to wait before asking again, or None if the answer is final."""
+def _backoff_s(answer: Answer | None, tries: int) -> float | None:
+    """Return the delay before the next attempt in seconds, or None if the answer is final."""
     if answer is None:
-        longest_s = min(SHORTEST_PAUSE_S * 2**tries, LONGEST_PAUSE_S)
-        return random.uniform(SHORTEST_PAUSE_S, longest_s)
+        max_s = min(MIN_BACKOFF_S * 2**tries, MAX_BACKOFF_S)
+        return random.uniform(MIN_BACKOFF_S, max_s)
     if answer.outcome is Outcome.COMPLETED or answer.retry_after_ms is None:
         return None
     if answer.outcome is Outcome.FAILED:
         return None
-    # Spread over half as long again, or all who were refused together come back together.
+    # Jitter of up to half the delay, so that clients refused at the same time do not retry
+    # at the same time.
     return answer.retry_after_ms / 1000 * random.uniform(1.0, 1.5)
--- a/zincwell/daemon.py
+++ b/zincwell/daemon.py
@@ -1,4 +1,4 @@
-"""Run one entry as a process."""
+"""Run one entry as a daemon process."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from zincwell.loops import new_event_loop
 from zincwell.settings import Settings
 
-GC_FIRST_GENERATION = 50_000
+GC_GENERATION_0_THRESHOLD = 50_000
 
 
 def run_entry(settings: Settings) -> None:
     """Run an entry until SIGTERM or SIGINT, then drain it.
 
-    :raises SettingsError: if a listener or a file of the settings can't be opened.
+    :raises SettingsError: if a listener or a file named in the settings can't be opened.
     """
     configure_logging(settings.log_level)
-    # The default makes the collector walk all queued tasks over and over under load.
-    gc.set_threshold(GC_FIRST_GENERATION)
+    # With the default threshold the collector scans all queued tasks repeatedly under load.
+    gc.set_threshold(GC_GENERATION_0_THRESHOLD)
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(_serve(settings))
 
@@ -38,7 +38,7 @@
 
 
 def print_ready(entry: Entry) -> None:
-    """Print the addresses in one line, for whoever started the process."""
+    """Print the addresses of the listeners in one line, for the parent process."""
     print(
         f"event=open vm={entry.settings.vm} callers={entry.callers.url} "
         f"peers={entry.peers_listener.url} operators={entry.operators.url}",
--- a/zincwell/demo.py
+++ b/zincwell/demo.py
@@ -1,4 +1,4 @@
-"""A real job on an embedded platform: one process, one command."""
+"""Demo that runs a job on an entry, a platform and workers in one process."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def run_demo() -> None:
-    """Run the demo and print what happens.
+    """Run the demo and print its progress.
 
     :raises ZincwellError: if the job does not complete.
     """
@@ -46,10 +46,10 @@
     workers = [StandinWorker(slots=SLOTS) for _ in range(WORKERS)]
     for number, worker in enumerate(workers):
         await worker.open()
-        directory.put(_row(number, worker))
-    print(f"platform: a log, a list of VMs and {WORKERS} workers with {SLOTS} slots each")
+        directory.put(_make_vm(number, worker))
+    print(f"platform: a log, a VM directory and {WORKERS} workers with {SLOTS} slots each")
     await log._store("config", {"kind": "change", "id": "demo", "base": -1, "patch": DOCUMENT})
-    entry = Entry(settings=_settings(log, directory))
+    entry = Entry(settings=_make_settings(log, directory))
     await entry.open()
     await _wait_until_ready(entry)
     print(f"entry: callers at {entry.callers.url}")
@@ -61,7 +61,7 @@
             await standin.close()
 
 
-def _row(number: int, worker: StandinWorker) -> Vm:
+def _make_vm(number: int, worker: StandinWorker) -> Vm:
     return Vm(
         vm=f"worker-{number}",
         role="worker",
@@ -73,7 +73,7 @@
     )
 
 
-def _settings(log: StandinLog, directory: StandinDirectory) -> Settings:
+def _make_settings(log: StandinLog, directory: StandinDirectory) -> Settings:
     return Settings(
         vm="entry-0",
         domain=DOMAIN,
@@ -90,7 +90,7 @@
     try:
         await asyncio.wait_for(ready(), OPEN_TIMEOUT_S)
     except TimeoutError as error:
-        raise ZincwellError("the entry did not become ready") from error
+        raise ZincwellError("the entry did not become ready in time") from error
 
 
 async def _run_job(entry: Entry, workers: list[StandinWorker]) -> None:
@@ -119,6 +119,6 @@
         print(f"task {task.index}: {task.outcome} {task.json()!r}")
     print(f"... {len(answer.tasks)} tasks, outcome {answer.outcome}")
     print(f"response {took_ms:.0f} ms, longest task {ideal_ms} ms")
-    print(f"sent again with the same key: {again.outcome}, starts at the workers: {starts}")
+    print(f"resubmitted with the same key: {again.outcome}, starts at the workers: {starts}")
     if again != answer or starts != PAGES:
-        raise ZincwellError("the job did not complete as it should")
+        raise ZincwellError("the second submission changed the answer or started tasks again")
--- a/zincwell/entry.py
+++ b/zincwell/entry.py
@@ -1,4 +1,4 @@
-"""One entry: the dispatcher's parts put together, and its life from start to drain."""
+"""The entry daemon: wires its components together and runs them from start to drain."""
 
 from __future__ import annotations
 
@@ -44,12 +44,12 @@
 from zincwell.settings import Settings, read_secret
 from zincwell.status import Status, describe
 
-IDLE_PEER_CONNECTION_S = 10.0
-ANY_ADDRESS = "0.0.0.0"
-LONG_WAIT_S = 5.0
+PEER_KEEPALIVE_S = 10.0
+WILDCARD_ADDRESS = "0.0.0.0"
+LOG_LONG_POLL_S = 5.0
 HANDOVER_TIMEOUT_S = 1.0
-HANDOVER_PERIOD_S = 0.1
-FORGET_PERIOD_S = 1.0
+HANDOVER_RETRY_S = 0.1
+EXPIRY_PERIOD_S = 1.0
 
 log = logging.getLogger("zincwell.entry")
 
@@ -57,7 +57,10 @@
 class Entry:
     """One entry daemon.
 
-    Use :meth:`open` to start it and :meth:`drain` to end it without cutting a request.
+    Call :meth:`open` to start it and :meth:`drain` to stop it gracefully, so that no request in
+    progress is cut off.
+
+    :param clock: time source; the system clock unless given.
     """
 
     def __init__(self, *, settings: Settings, clock: Clock | None = None):
@@ -71,12 +74,12 @@
         self._session: aiohttp.ClientSession | None = None
         self._tasks: list[asyncio.Task] = []
 
-    # -- life ----------------------------------------------------------------------------
+    # -- lifecycle -----------------------------------------------------------------------
 
     async def open(self) -> None:
-        """Start listening and following the platform.
+        """Open the listeners and start the background tasks.
 
-        :raises SettingsError: if a file of the settings can't be read.
+        :raises SettingsError: if a file named in the settings can't be read.
         """
         peer_key = read_secret(self.settings.peer_key_file)
         self.operator_token = read_secret(self.settings.operator_token_file)
@@ -87,7 +90,7 @@
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
                 limit=0,
-                keepalive_timeout=IDLE_PEER_CONNECTION_S,
+                keepalive_timeout=PEER_KEEPALIVE_S,
                 local_addr=self._local_address(),
                 ssl=make_client_tls(self.settings.ca_file),
             )
@@ -98,8 +101,8 @@
         if self.settings.otlp_endpoint:
             self.metrics.export(self.settings.otlp_endpoint, vm=self.settings.vm)
         self._tasks = [
-            asyncio.create_task(lane)
-            for lane in (
+            asyncio.create_task(coroutine)
+            for coroutine in (
                 self.seats_follower.run(),
                 self.config_follower.run(),
                 self.keeper.run(),
@@ -109,7 +112,7 @@
                 self.dispatcher.run_stop_rules(),
                 self.spill.run(),
                 self._recover_keys(),
-                self._forget(),
+                self._expire_old_state(),
             )
         ]
         log.info(
@@ -124,7 +127,7 @@
         )
 
     async def drain(self) -> None:
-        """Leave: readiness off, then no new work, then wait for what is in flight."""
+        """Shut down gracefully: report not ready, refuse new work, finish what is in progress."""
         self.is_draining = True
         log.info("drain_begins", extra={"vm": self.settings.vm})
         await asyncio.sleep(self.settings.timing.drain_notice_s)
@@ -136,11 +139,11 @@
         log.info("drain_ends", extra={"vm": self.settings.vm})
 
     def ask_to_drain(self) -> None:
-        """Tell whoever runs this entry to drain it."""
+        """Request a drain; the process that runs this entry waits on ``drain_asked``."""
         self.drain_asked.set()
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Stop at once, without waiting for work in progress."""
         for task in self._tasks:
             task.cancel()
         await self.spill.close()
@@ -153,11 +156,11 @@
     # -- state ---------------------------------------------------------------------------
 
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether this entry accepts callers: not draining, and configured."""
         return not self.is_draining and self.configuration.document is not None
 
     def has_workers(self) -> bool:
-        """Tell whether any worker may get a task."""
+        """Return whether any pool has a usable worker."""
         return any(pool.usable_workers() for pool in self.dispatcher.pool_by_name.values())
 
     def progress(self) -> int:
@@ -165,7 +168,7 @@
         return self.metrics.total("tasks", kind=Outcome.COMPLETED)
 
     def load(self) -> Load:
-        """Return what this entry uses of its domain's workers."""
+        """Return the queued and running tasks of this entry, as sent to its peers."""
         pools = self.dispatcher.pool_by_name.values()
         queued_by_pool = {pool.name: pool.queue.size for pool in pools if pool.queue.size}
         running_by_worker = {
@@ -182,11 +185,11 @@
         )
 
     def status(self) -> Status:
-        """Return what this entry is and knows, for operators."""
+        """Return the state of this entry, for operators."""
         return describe(self)
 
     def hand_over(self, call: HandoverCall) -> HandoverReply:
-        """Return the keys that a new home should know of."""
+        """Return the keys that the calling entry needs to serve as their new home."""
         keys = self.home.hand_over(seat=call.seat, owned=self.submissions.owned_keys())
         return HandoverReply(
             seat=self.seat,
@@ -212,13 +215,13 @@
         self.membership = Membership()
         self.configuration = Configuration()
         self.seats_follower = Follower(
-            fold=self.membership, log_service=log_service, clock=clock, wait_s=self._seats_wait_s
+            fold=self.membership, log_service=log_service, clock=clock, wait_s=self._seats_poll_s
         )
         self.config_follower = Follower(
             fold=self.configuration,
             log_service=log_service,
             clock=clock,
-            wait_s=lambda: LONG_WAIT_S,
+            wait_s=lambda: LOG_LONG_POLL_S,
         )
         self.keeper = SeatKeeper(
             seat=self.seat,
@@ -255,7 +258,7 @@
             demand=lambda pool: self.dispatcher.has_demand(pool),
             clock=clock,
         )
-        self.membership.on_change.append(self._note_seats)
+        self.membership.on_change.append(self._handle_seat_change)
         self.dispatcher = Dispatcher(
             entry=self.seat.id,
             domain=settings.domain,
@@ -264,16 +267,16 @@
             shares=self.shares,
             neighbours=self._neighbours,
             open_worker=self._open_worker,
-            on_starved=self._note_starved,
-            observe=self._observe_task,
-            observe_waste=self._observe_waste,
+            on_starved=self._handle_starvation,
+            observe=self._record_task,
+            observe_waste=self._record_waste,
         )
         self.guests = Guests(
             dispatcher=self.dispatcher,
             clock=clock,
             timing=timing,
             is_draining=lambda: self.is_draining,
-            observe_waste=self._observe_waste,
+            observe_waste=self._record_waste,
         )
         self.spill = Spill(
             dispatcher=self.dispatcher,
@@ -331,13 +334,13 @@
             admission=admission,
             clock=clock,
             timing=timing,
-            observe_refusal=self._observe_refusal,
+            observe_refusal=self._record_refusal,
         )
 
     def _local_address(self) -> tuple[str, int] | None:
-        """Return the address that our connections come from: that of the peers' listener."""
+        """Return the source address of outgoing connections: that of the peers' listener."""
         host = self.settings.peers.host
-        return None if host == ANY_ADDRESS else (host, 0)
+        return None if host == WILDCARD_ADDRESS else (host, 0)
 
     def _open_worker(self, vm: Vm) -> HttpWorkerTransport:
         timing = self.settings.timing
@@ -358,7 +361,7 @@
             headers=key_headers(peer_key),
         )
 
-    def _note_starved(self) -> None:
+    def _handle_starvation(self) -> None:
         self.heartbeats.beat_now()
         self.spill.note_starved()
 
@@ -366,19 +369,26 @@
         document = self.configuration.document
         return document.domains if document is not None else [self.settings.domain]
 
-    def _seats_wait_s(self) -> float:
-        """Wait long for records while the peers keep our lease, shortly once they don't."""
+    def _seats_poll_s(self) -> float:
+        """Return how long a read of the seats waits for new records.
+
+        A long poll is enough while heartbeats from all peers renew the lease. Otherwise the log
+        has to renew it, and is read once per heartbeat period.
+        """
         if self.keeper.is_open and self.keeper.others() and self.keeper.hears_all_peers():
-            return LONG_WAIT_S
+            return LOG_LONG_POLL_S
         return self.settings.timing.heartbeat_s
 
-    def _note_seats(self, domain: str, _: bool) -> None:
+    def _handle_seat_change(self, domain: str, _: bool) -> None:
         if domain == self.settings.domain:
             self._entries_of_domain = None
             self.shares.forget()
 
     def _domain_entries(self) -> list[str]:
-        """Return the names of the domain's entries; asked for several times for each worker."""
+        """Return the VM names of the entries in this domain.
+
+        Cached until the seats change, as it is called several times per worker.
+        """
         if self._entries_of_domain is None:
             names = {seat.vm for seat in self.keeper.others()} | {self.seat.vm}
             self._entries_of_domain = sorted(names)
@@ -397,9 +407,9 @@
         workers = (pool.worker_by_name.get(name) for pool in self.dispatcher.pool_by_name.values())
         return any(worker.answers for worker in workers if worker is not None)
 
-    # -- observation ---------------------------------------------------------------------
+    # -- metrics -------------------------------------------------------------------------
 
-    def _observe_task(self, task: Task) -> None:
+    def _record_task(self, task: Task) -> None:
         job = task.job
         self.metrics.count("tasks", kind=task.outcome, tenant=job.tenant)
         if task.outcome is not Outcome.COMPLETED:
@@ -412,20 +422,20 @@
         if job.unfinished == 0:
             self.metrics.observe("response", now - job.arrived_at, **labels)
 
-    def _observe_waste(self, kind: str) -> None:
+    def _record_waste(self, kind: str) -> None:
         self.metrics.count("wasted", kind=kind)
 
-    def _observe_refusal(self, tenant: str, _: str, reason: str) -> None:
+    def _record_refusal(self, tenant: str, _: str, reason: str) -> None:
         self.metrics.count("refused", kind=reason, tenant=tenant)
 
-    # -- lanes ---------------------------------------------------------------------------
+    # -- background tasks ----------------------------------------------------------------
 
     async def _recover_keys(self) -> None:
-        """Ask the others what they know of the keys that we have become home to."""
+        """Fetch from peers the keys for which this entry has become the home."""
         while True:
             for seat in self.home.awaited():
                 await self._recover_from(seat)
-            await asyncio.sleep(HANDOVER_PERIOD_S)
+            await asyncio.sleep(HANDOVER_RETRY_S)
 
     async def _recover_from(self, seat: Seat) -> None:
         try:
@@ -439,23 +449,24 @@
         except PeerUnavailableError as error:
             log.info("handover_unreachable", extra={"from": seat.id, "error": error})
             return
-        # One that is behind may still grant keys that have become ours. What counts is what
-        # we know now, as a further change may have come while the answer was on its way.
+        # A peer that has read less of the membership stream may still grant keys whose home is
+        # now this entry. The offset is compared after the reply, because the membership may have
+        # changed again during the call.
         if reply.epoch >= self.membership.next_offset and reply.seat.id == seat.id:
             self.home.take_over(reply)
 
-    async def _forget(self) -> None:
+    async def _expire_old_state(self) -> None:
         while True:
-            await asyncio.sleep(FORGET_PERIOD_S)
+            await asyncio.sleep(EXPIRY_PERIOD_S)
             self.home.forget_old()
             self.guests.forget_old()
             self.book.forget_old()
 
     async def _hand_over_seat(self) -> None:
-        """Close our seat and give the peers time to learn what we know as a home."""
+        """Close the seat and leave the peers time to fetch the keys granted here."""
         try:
             await self.keeper.close()
         except LogUnavailableError as error:
             log.warning("seat_left_open", extra={"error": error})
             return
-        await asyncio.sleep(4 * self.settings.timing.heartbeat_s + 2 * HANDOVER_PERIOD_S)
+        await asyncio.sleep(4 * self.settings.timing.heartbeat_s + 2 * HANDOVER_RETRY_S)
--- a/zincwell/loops.py
+++ b/zincwell/loops.py
@@ -1,4 +1,4 @@
-"""The event loop of all our processes: uvloop, with one owner for each descriptor."""
+"""The event loop of all zincwell processes: uvloop, with a single owner per file descriptor."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 
 class Loop(uvloop.Loop):
-    """An uvloop that keeps apart the sockets of its transports and those of its callers.
-
-    When opening a transport on a connected socket is cancelled, as by a timeout, uvloop closes the
-    descriptor, and so does the caller, who still has the socket. In between, the number may have
-    gone to another connection, which is then closed under its owner: calls fail with "bad file
-    descriptor" or "already connected", and the process aborts once the loop registers the number.
-    Here the transport gets a descriptor of its own. Measured with an aiohttp client whose calls
-    time out after 2 to 100 ms: 2 of 3 processes aborted within 10 s before, none of 3 after.
+    """A uvloop whose transports never share a file descriptor with the caller's socket.
+
+    If ``create_connection`` on a connected socket is cancelled, for example by a timeout, uvloop
+    closes the descriptor, and the caller closes the socket again. The number may have been reused
+    for another connection in between, which is then closed while in use: calls fail with "bad
+    file descriptor" or "already connected", and the process aborts once the loop registers the
+    number. This loop opens the transport on a duplicate of the socket. With an aiohttp client
+    whose calls time out after 2 to 100 ms, 2 of 3 processes abort within 10 s on a plain uvloop,
+    and none of 3 on this one.
     """
 
     async def create_connection(
@@ -30,15 +31,15 @@
         sock: socket.socket | None = None,
         **options: Any,
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Open a transport; on success it has the socket, else the caller keeps it."""
+        """Open a connection; closes a given socket on success, leaves it open on error."""
         if sock is None:
             return await super().create_connection(protocol_factory, host, port, **options)
-        own = sock.dup()
+        duplicate = sock.dup()
         try:
-            opened = await super().create_connection(protocol_factory, sock=own, **options)
+            opened = await super().create_connection(protocol_factory, sock=duplicate, **options)
         except BaseException:
-            # The loop has closed the descriptor already.
-            own.detach()
+            # uvloop has already closed the descriptor of the duplicate.
+            duplicate.detach()
             raise
         sock.close()
         return opened
--- a/zincwell/metrics.py
+++ b/zincwell/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics: histograms by tenant and class, and counters.
+"""Metrics: histograms by tenant and urgency class, and counters.
 
-One OpenTelemetry histogram record costs about as much as a dispatch, so values are first
-gathered in HDR histograms and exported through observable instruments.
+Recording a value in an OpenTelemetry histogram costs about as much as a dispatch, so values are
+collected in HDR histograms and exported through observable instruments.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from opentelemetry.sdk.resources import Resource
 
 UNITS_PER_SECOND = 10_000
-LONGEST_UNITS = 3_600 * UNITS_PER_SECOND
+MAX_UNITS = 3_600 * UNITS_PER_SECOND
 SIGNIFICANT_DIGITS = 2
 QUANTILES = (50.0, 90.0, 99.0, 100.0)
 HISTOGRAMS = ("queueing", "run", "response")
@@ -27,7 +27,7 @@
 
 
 class Metrics:
-    """Histograms of queueing, run and response time, and counters by name and label."""
+    """Histograms of queueing, run and response time, and counters, by name and label."""
 
     def __init__(self) -> None:
         self._histogram_by_label: dict[tuple[str, Label], HdrHistogram] = {}
@@ -35,33 +35,38 @@
         self._provider: MeterProvider | None = None
 
     def observe(self, name: str, seconds: float, *, tenant: str, urgency: str) -> None:
-        """Note one duration.
+        """Record one duration.
 
         :param name: one of ``HISTOGRAMS``.
         """
         label = (name, (tenant, urgency))
         histogram = self._histogram_by_label.get(label)
         if histogram is None:
-            histogram = HdrHistogram(1, LONGEST_UNITS, SIGNIFICANT_DIGITS)
+            histogram = HdrHistogram(1, MAX_UNITS, SIGNIFICANT_DIGITS)
             self._histogram_by_label[label] = histogram
         histogram.record_value(max(1, round(seconds * UNITS_PER_SECOND)))
 
     def count(self, name: str, *, kind: str = "", tenant: str = "", by: int = 1) -> None:
-        """Count one event."""
+        """Increment a counter.
+
+        :param by: number of events.
+        """
         label = (name, (kind, tenant))
         self._count_by_label[label] = self._count_by_label.get(label, 0) + by
 
     def total(self, name: str, *, kind: str) -> int:
-        """Return a counter, over all tenants."""
+        """Return the value of a counter, summed over all tenants."""
         counts = self._count_by_label.items()
-        return sum(count for (one, (of, _)), count in counts if one == name and of == kind)
+        return sum(
+            count for (event, (label, _)), count in counts if event == name and label == kind
+        )
 
     async def snapshot(self) -> dict[str, Any]:
         """Return all metrics as plain JSON values, times in milliseconds.
 
-        One histogram takes milliseconds to read. Hundreds read at one go would hold the loop
-        for seconds, and the peers would take this entry for dead; so others get their turn
-        after each.
+        Yields to the event loop after each histogram. Reading one takes milliseconds, so reading
+        hundreds at once would block the loop for seconds, and the peers would declare this entry
+        dead.
         """
         histograms = []
         for label, histogram in list(self._histogram_by_label.items()):
@@ -74,9 +79,9 @@
         return {"histograms": histograms, "counters": counters}
 
     def export(self, endpoint: str, *, vm: str) -> None:
-        """Send the metrics to an OTLP collector from now on."""
-        # A resource named by hand: the SDK's detectors look round the host and may start
-        # other processes.
+        """Start to export the metrics to an OTLP collector periodically."""
+        # The resource is set explicitly, because the SDK's resource detectors inspect the host
+        # and may start other processes.
         resource = Resource({"service.name": "zincwell", "service.instance.id": vm})
         reader = PeriodicExportingMetricReader(OTLPMetricExporter(endpoint=endpoint))
         self._provider = MeterProvider(metric_readers=[reader], resource=resource)
@@ -88,7 +93,7 @@
             )
 
     def close(self) -> None:
-        """Send what is left and stop exporting."""
+        """Export the remaining values and stop exporting."""
         if self._provider is not None:
             self._provider.shutdown()
 
@@ -96,10 +101,10 @@
         for (name, (kind, tenant)), count in list(self._count_by_label.items()):
             yield Observation(count, {"event": name, "kind": kind, "tenant": tenant})
 
-    def _make_gauge(self, wanted: str):
+    def _make_gauge(self, exported_name: str):
         def observe(_: CallbackOptions) -> Iterable[Observation]:
             for (name, (tenant, urgency)), histogram in list(self._histogram_by_label.items()):
-                if name != wanted:
+                if name != exported_name:
                     continue
                 for quantile in QUANTILES:
                     attributes = {"tenant": tenant, "urgency": urgency, "quantile": quantile}
