--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, what it prints, and errors without a traceback."""
+"""The command line: exit codes, output, and errors without a traceback."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 from tests.lone import DOCUMENT, TOKEN, LoneEntry, open_lone_entry
 
-OK, FAILED, USAGE, LOST_RACE, OPEN = 0, 1, 2, 3, 4
+OK, FAILED, USAGE, CONFLICT, OUTCOME_UNKNOWN = 0, 1, 2, 3, 4
 
 
 @dataclass(kw_only=True)
 class Run:
-    """What one run of the command line gave."""
+    """Result of one run of the command line."""
 
     code: int
     out: str
@@ -33,7 +33,7 @@
 
 
 async def run(*words: object) -> Run:
-    """Run the command line as a process."""
+    """Run the command line in a process of its own."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -64,7 +64,7 @@
 
 @pytest.fixture
 def document(tmp_path: Path) -> Path:
-    """A document that gives the school another weight."""
+    """A document that changes the weight of the tenant ``school``."""
     return write(tmp_path / "document.toml", weight=3.0)
 
 
@@ -102,10 +102,10 @@
 
 
 async def test_command_with_a_mistyped_flag_does_nothing(lone: LoneEntry, token_file: Path):
-    """Words that a command does not know keep it from running.
+    """A command with unknown arguments is refused without being run.
 
-    Symptom: an entry drains although the command was refused. Sequence: `drain` is given a
-    mistyped flag. Cause: the command runs first, and the words left over are looked at later.
+    Guards against `drain` with a mistyped flag draining the entry although it exits with a usage
+    error: fire runs a command first and checks the remaining arguments afterwards.
     """
     flag = f"--token-file={token_file}"
     for words in ([flag, "--colour=red"], [flag, "all"]):
@@ -124,8 +124,8 @@
 
     assert_that((good.code, good.out), Equals((OK, f"{document}: valid\n")))
     assert_that(refused.code, Equals(FAILED))
-    told = [str(bad), "pools.braille.queue_target_ms", "'soon'", "service: Unknown key"]
-    assert_that(refused.err, ContainsAll(told))
+    expected = [str(bad), "pools.braille.queue_target_ms", "'soon'", "service: Unknown key"]
+    assert_that(refused.err, ContainsAll(expected))
 
 
 async def test_document_that_is_missing_or_not_toml(tmp_path: Path):
@@ -138,7 +138,7 @@
         assert_that(refused.err, Contains(str(path)))
 
 
-async def test_bad_settings_end_the_entry_with_one_line_each(tmp_path: Path):
+async def test_invalid_settings_are_reported_one_per_line(tmp_path: Path):
     path = tmp_path / "entry.toml"
     path.write_text('vm = "a"\n[callers]\nport = -1\n')
 
@@ -188,26 +188,25 @@
 
 
 async def test_publish_loses_a_race(lone: LoneEntry, token_file: Path, document: Path):
-    """A lost race ends with its own exit code and shows what came in between.
+    """A conflicting change is rejected with an exit code of its own and shows the earlier change.
 
-    Symptom: an operator overwrites a colleague's change unseen. Sequence: both start from the
-    same version, the colleague publishes first. Cause: the later document is taken whole.
+    Guards against lost updates: two operators start from the same version, and the second one to
+    publish overwrites the change of the first without seeing it.
     """
     await lone.publish({"tenants": {"radio": {"weight": 5.0}}}, change_id="theirs")
 
     lost = await publish(lone, token_file, document, base=0)
 
-    assert_that(lost.code, Equals(LOST_RACE))
+    assert_that(lost.code, Equals(CONFLICT))
     assert_that(lost.err, ContainsAll(["rejected", "version 1 by asha", '"radio"']))
     assert_that(lone.entry.configuration.version, Equals(1))
 
 
 async def test_publish_repeated_with_its_id(lone: LoneEntry, token_file: Path, document: Path):
-    """A change that is sent again with its id takes effect once.
+    """A change that is published twice with the same id takes effect once.
 
-    Symptom: a repeated command undoes what others changed since. Sequence: the answer is lost,
-    another change follows, the operator repeats the command. Cause: no answer looks like no
-    effect.
+    Guards against a retry that reverts later changes: the answer to the first attempt is lost,
+    another change follows, and the operator repeats the command.
     """
     first = await publish(lone, token_file, document, base=0, id="monday")
     await lone.publish({"tenants": {"school": {"weight": 9.0}}}, change_id="theirs")
@@ -220,10 +219,10 @@
 async def test_publish_while_the_log_is_down(
     lone: LoneEntry, token_file: Path, document: Path, monkeypatch: pytest.MonkeyPatch
 ):
-    """A change without a verdict is told as open, with the id to repeat it by.
+    """A change whose outcome is unknown is reported as such, with the id to repeat it.
 
-    Symptom: an operator takes "failed" for "not in force". Sequence: the log does not answer
-    an append that may have taken effect. Cause: unknown is reported as an error.
+    The log service does not answer an append that may have taken effect. If this were reported
+    as a failure, the operator would conclude that the change is not in force.
     """
     monkeypatch.setattr("zincwell.core._publishing.VERDICT_WAIT_S", 0.2)
     monkeypatch.setattr("zincwell.adapters._platform.CALL_TIMEOUT_S", 0.5)
@@ -233,7 +232,7 @@
     monkeypatch.undo()
     again = await publish(lone, token_file, document, base=0, id="monday")
 
-    assert_that((unknown.code, again.code), Equals((OPEN, OK)))
+    assert_that((unknown.code, again.code), Equals((OUTCOME_UNKNOWN, OK)))
     assert_that(unknown.err + unknown.out, ContainsAll(["log_unavailable", "--id=monday"]))
 
 
@@ -256,26 +255,26 @@
 
 
 async def test_status_of_several_entries(lone: LoneEntry, token_file: Path):
-    told = await run("status", lone.url, "http://127.0.0.1:1", f"--token-file={token_file}")
+    shown = await run("status", lone.url, "http://127.0.0.1:1", f"--token-file={token_file}")
 
-    status = json.loads(told.out)
+    status = json.loads(shown.out)
     assert_that((status["vm"], status["config_version"]), Equals(("entry-0", 0)))
-    assert_that(told.code, Equals(FAILED))
-    assert_that(told.err, Contains("http://127.0.0.1:1"))
+    assert_that(shown.code, Equals(FAILED))
+    assert_that(shown.err, Contains("http://127.0.0.1:1"))
 
 
 async def test_metrics(lone: LoneEntry, token_file: Path):
-    told = await run("metrics", lone.url, f"--token-file={token_file}")
+    shown = await run("metrics", lone.url, f"--token-file={token_file}")
 
-    assert_that(sorted(json.loads(told.out)), Equals(["counters", "histograms"]))
+    assert_that(sorted(json.loads(shown.out)), Equals(["counters", "histograms"]))
 
 
 @pytest.mark.parametrize("given", ["", "wrong"])
 async def test_wrong_or_missing_token(lone: LoneEntry, tmp_path: Path, document: Path, given: str):
-    """Every command says that the token is wrong, and has no effect.
+    """Every command reports a wrong token and has no effect.
 
-    Symptom: `drain` prints "draining" and the entry stays. Sequence: the token is missing or
-    old. Cause: the answer's body is read without a look at its status.
+    Guards against a client that decodes the body without checking the status: with a missing or
+    outdated token, `drain` would print "draining" although the entry refused it.
     """
     flags = []
     if given:
@@ -300,13 +299,13 @@
 
 
 async def test_drain(lone: LoneEntry, token_file: Path):
-    told = await run("drain", lone.url, f"--token-file={token_file}")
+    shown = await run("drain", lone.url, f"--token-file={token_file}")
 
-    assert_that((told.code, told.out), Equals((OK, "draining\n")))
+    assert_that((shown.code, shown.out), Equals((OK, "draining\n")))
     assert_that(lone.entry.drain_asked.is_set(), Equals(True))
 
 
-async def test_health_needs_no_token_and_tells_live_ready_and_draining_apart(lone: LoneEntry):
+async def test_health_needs_no_token_and_distinguishes_live_ready_and_draining(lone: LoneEntry):
     async with aiohttp.ClientSession() as session:
         found = [await get(session, lone.url + path) for path in ("/live", "/ready")]
         lone.entry.is_draining = True
@@ -326,14 +325,14 @@
 
 @pytest.fixture
 def interruptible() -> Iterator[None]:
-    """Let child processes take SIGINT, which a shell ignores for what it starts behind itself."""
+    """Let child processes receive SIGINT, which a shell ignores in background jobs."""
     inherited = signal.signal(signal.SIGINT, signal.default_int_handler)
     yield
     signal.signal(signal.SIGINT, inherited)
 
 
 async def test_interrupt_ends_without_traceback(interruptible: None):
-    """Ctrl-C in a command that waits ends it quietly."""
+    """Ctrl-C ends a waiting command without output."""
     connected = asyncio.Event()
     server = await asyncio.start_server(lambda *_: connected.set(), "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
@@ -354,9 +353,8 @@
 
 
 @pytest.mark.parametrize("command", ["status", "drain"])
-async def test_an_address_where_nobody_listens_is_said_in_a_sentence(command: str):
-    # Symptom: the person sees a library's connection key with eight fields. Cause: the error was
-    # printed as the library shows it to programmers.
+async def test_refused_connection_is_reported_in_one_sentence(command: str):
+    # Guards against printing the raw aiohttp error, which shows a connection key of eight fields.
     found = await run(command, "http://127.0.0.1:1")
     assert_that(found.code, Equals(FAILED))
     assert_that(
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and the configuration document: what is refused, and what the refusal says."""
+"""Validation of settings and the configuration document, and its error messages."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "told"),
+    ("changes", "expected"),
     [
         ({"vn": "x"}, ["vn", "Unknown key", "vm, domain, platform"]),
         ({"vm": ""}, ["vm", "length >= 1"]),
@@ -55,7 +55,7 @@
         ({"platform": "x"}, ["platform", "Expected a table"]),
         ({"callers": {"port": 70_000}}, ["callers.port", "<= 65535", "got 70000"]),
         ({"callers": {"prot": 1}}, ["callers.prot", "Unknown key", "host, port"]),
-        ({"callers": {"host": "localhost"}}, ["callers.host", "not an IPv4 number"]),
+        ({"callers": {"host": "localhost"}}, ["callers.host", "not an IPv4 address"]),
         ({"callers": {"tls_key": "k.pem"}}, ["callers.tls_key", "callers.tls_cert"]),
         ({"timing": {"heartbeat_s": 0}}, ["timing.heartbeat_s", "> 0"]),
         ({"timing": {"peer_silence_s": 2.0}}, ["timing.peer_silence_s", "timing.seat_lease_s"]),
@@ -64,11 +64,11 @@
         ({"log_level": "loud"}, ["log_level", "debug, info, warning, error", "'loud'"]),
     ],
 )
-def test_bad_setting_is_named_with_file_and_what_is_allowed(changes: dict, told: list[str]):
-    assert_that(refusal(**changes), ContainsAll(["entry.toml", *told]))
+def test_bad_setting_is_named_with_file_and_what_is_allowed(changes: dict, expected: list[str]):
+    assert_that(refusal(**changes), ContainsAll(["entry.toml", *expected]))
 
 
-def test_all_bad_settings_are_told_at_once():
+def test_all_invalid_settings_are_reported_at_once():
     lines = refusal(vm="", callers={"port": -1}, zone="x").splitlines()
 
     assert_that(len(lines), Equals(3))
@@ -93,14 +93,15 @@
     ("listener", "secret"), [("operators", "operator_token_file"), ("peers", "peer_key_file")]
 )
 def test_listener_open_to_the_network_needs_a_secret(listener: str, secret: str):
-    """Anyone on the network could publish a configuration or claim callers' keys.
+    """Guards against a listener that is reachable from the network and has no secret.
 
-    Symptom: a stranger's change is in force. Sequence: the listener gets a public address and
-    the line with the file of its secret is forgotten. Cause: no secret means no check.
+    If the listener has a public address and the setting of its secret file is missing, requests
+    are not authenticated, and anyone on the network could publish a configuration or claim
+    callers' keys.
     """
     for host in ("0.0.0.0", "10.0.0.7"):
-        told = refusal(**{listener: {"host": host}})
-        assert_that(told, ContainsAll(["entry.toml", f"{listener}.host", host, secret]))
+        message = refusal(**{listener: {"host": host}})
+        assert_that(message, ContainsAll(["entry.toml", f"{listener}.host", host, secret]))
 
     parse(**{listener: {"host": "0.0.0.0"}, secret: "secret.txt"})
     parse(**{listener: {"host": "127.0.0.9"}})
@@ -111,7 +112,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "told"),
+    ("changes", "expected"),
     [
         ({"service": {}}, ["$.service`", "Unknown key", "services"]),
         ({"format": 2}, ["$.format`", "<= 1"]),
@@ -129,11 +130,11 @@
         ({"retries": {"max_attempts": 11}}, ["$.retries.max_attempts`", "<= 10"]),
     ],
 )
-def test_bad_document_names_the_field_and_what_is_allowed(changes: dict, told: list[str]):
-    assert_that(document_refusal(**changes), ContainsAll(told))
+def test_bad_document_names_the_field_and_what_is_allowed(changes: dict, expected: list[str]):
+    assert_that(document_refusal(**changes), ContainsAll(expected))
 
 
-def test_all_faults_of_a_document_are_told_at_once():
+def test_all_faults_of_a_document_are_reported_at_once():
     faults = list(
         find_document_faults(
             {
@@ -150,11 +151,11 @@
 
 
 @pytest.mark.parametrize("value", [None, 3, "x", [], {"services": 3, "pools": [], "domains": 1}])
-def test_what_is_no_document_at_all_is_refused(value: object):
+def test_value_that_is_not_a_document_is_refused(value: object):
     assert_that(lambda: parse_document(value), Raises(MatchesException(DocumentError)))
 
 
-def test_page_of_settings_is_the_one_made_from_the_code():
+def test_settings_page_matches_the_generated_reference():
     assert_that(PAGE.read_text(encoding="utf-8"), Equals(make_reference()))
 
 
--- a/zincwell/admin.py
+++ b/zincwell/admin.py
@@ -1,4 +1,4 @@
-"""Client of an entry's listener for operators, as the command line uses it."""
+"""HTTP client of an entry's operators listener, used by the command line."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 HTTP_ACCEPTED = 202
 HTTP_BAD_REQUEST = 400
 HTTP_CONFLICT = 409
-SERVER_FAULT = 500
+HTTP_SERVER_ERROR = 500
 NETWORK_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
 class AdminClient:
     """Blocking client of one entry.
 
-    :param url: base URL of the entry's listener for operators.
+    :param url: base URL of the entry's operators listener.
     :param token_file: file with the bearer token; empty for none.
-    :param ca_file: file with the certificates that sign the listener's; empty: the system's.
+    :param ca_file: PEM file with the CA certificates that sign the listener's certificate; empty
+        for those of the operating system.
     """
 
     def __init__(self, *, url: str, token_file: str = "", ca_file: str = ""):
@@ -55,15 +56,15 @@
         return self._call("GET", "/v1/config", None, ConfigReply)
 
     def check_config(self, document: dict[str, Any]) -> CheckReply:
-        """Check a document and return what it would change."""
+        """Validate a document and return the changes that it would make."""
         path = "/v1/config/check"
         return self._call("POST", path, document, CheckReply, (HTTP_OK, HTTP_BAD_REQUEST))
 
     def publish_config(self, proposal: Proposal) -> PublishReply:
-        """Publish a document and return the verdict.
+        """Publish a document and return whether it was accepted.
 
         :raises OpenChangeError: if the change may or may not have taken effect.
-        :raises AdminError: if it was refused as it stands.
+        :raises AdminError: if the entry refused the request.
         """
         path = "/v1/config"
         try:
@@ -73,10 +74,10 @@
         if status in (HTTP_OK, HTTP_CONFLICT):
             return self._decode(path, status, body, PublishReply)
         message = f"{self._url}{path}: {status} {_detail(body)}"
-        raise OpenChangeError(message) if status >= SERVER_FAULT else AdminError(message)
+        raise OpenChangeError(message) if status >= HTTP_SERVER_ERROR else AdminError(message)
 
     def drain(self) -> None:
-        """Tell the entry to drain and end."""
+        """Tell the entry to drain and exit."""
         self._call("POST", "/v1/drain", {}, dict)
 
     def _call(
@@ -88,7 +89,7 @@
         expected: tuple[int, ...] = (HTTP_OK, HTTP_ACCEPTED),
     ) -> Any:
         status, body = asyncio.run(self._send(method, path, value))
-        # Judged by the status: the body of a refusal can pass for what was asked for.
+        # The body of an error may decode as the expected type, so the status is checked first.
         if status not in expected:
             raise AdminError(f"{self._url}{path}: {status} {_detail(body)}")
         return self._decode(path, status, body, type_)
@@ -116,7 +117,7 @@
 
 
 def _detail(body: bytes) -> str:
-    """Return what an error answer says."""
+    """Return the error message in the body of an answer."""
     try:
         answer = msgspec.json.decode(body, type=Answer)
     except msgspec.MsgspecError:
--- a/zincwell/cli.py
+++ b/zincwell/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The ``zincwell`` command line."""
 
 from __future__ import annotations
 
@@ -30,53 +30,53 @@
 from zincwell.settings import load_settings
 
 EXIT_ERROR = 1
-EXIT_LOST_RACE = 3
-EXIT_OPEN = 4
+EXIT_CONFLICT = 3
+EXIT_OUTCOME_UNKNOWN = 4
 EXIT_INTERRUPTED = 130
 
 
 @dataclass(frozen=True, kw_only=True)
-class Pending:
-    """A command whose words have been read but that has not begun."""
+class DeferredCommand:
+    """A command with parsed arguments that has not been run yet."""
 
     action: Callable[[], None]
 
 
-def command(method: Callable[..., None]) -> Callable[..., Pending]:
-    """Put off a command until all words of the command line are known to be right.
+def command(method: Callable[..., None]) -> Callable[..., DeferredCommand]:
+    """Defer a command until fire has accepted the whole command line.
 
-    fire calls a command with the words that it takes and only then finds out that others are
-    left over. Without this, a mistyped flag publishes or drains first and is told afterwards.
+    fire calls a command with the arguments that it knows and reports unknown ones afterwards.
+    Without this, a command with a mistyped flag would publish or drain before it is refused.
     """
 
     @functools.wraps(method)
-    def put_off(*args: Any, **options: Any) -> Pending:
-        return Pending(action=functools.partial(method, *args, **options))
+    def put_off(*args: Any, **options: Any) -> DeferredCommand:
+        return DeferredCommand(action=functools.partial(method, *args, **options))
 
     return put_off
 
 
 class ConfigCommands:
-    """Show, check and publish the configuration that all entries agree on."""
+    """Show, validate and publish the configuration shared by all entries."""
 
     @command
     def validate(self, document: str) -> None:
-        """Check a document without any entry.
+        """Validate a document locally, without contacting an entry.
 
         Args:
-            document: path of the document, in TOML.
+            document: path of the TOML document.
         """
         read_valid_document(document)
         print(f"{document}: valid")
 
     @command
     def show(self, entry: str, *, token_file: str = "", ca_file: str = "") -> None:
-        """Print the document in force, in TOML.
+        """Print the configuration in force as TOML.
 
         Args:
-            entry: base URL of an entry's listener for operators.
-            token_file: file with the operators' bearer token.
-            ca_file: file with the certificates that sign the listener's, in PEM.
+            entry: base URL of an entry's operators listener.
+            token_file: file with the bearer token for operators.
+            ca_file: PEM file with the CA certificates that sign the listener's certificate.
         """
         reply = _client(entry, token_file, ca_file).show_config()
         print(f"# version {reply.version}")
@@ -84,13 +84,13 @@
 
     @command
     def diff(self, document: str, entry: str, *, token_file: str = "", ca_file: str = "") -> None:
-        """Print what a document would change, as a merge patch.
+        """Print the changes that a document would make, as a JSON merge patch.
 
         Args:
-            document: path of the document, in TOML.
-            entry: base URL of an entry's listener for operators.
-            token_file: file with the operators' bearer token.
-            ca_file: file with the certificates that sign the listener's, in PEM.
+            document: path of the TOML document.
+            entry: base URL of an entry's operators listener.
+            token_file: file with the bearer token for operators.
+            ca_file: PEM file with the CA certificates that sign the listener's certificate.
         """
         value = read_valid_document(document)
         reply = _client(entry, token_file, ca_file).show_config()
@@ -109,19 +109,19 @@
         ca_file: str = "",
         id: str = "",
     ) -> None:
-        """Publish a document; exit code 3 if another change came first, 4 if nobody knows.
+        """Publish a document; exit code 3 on a conflicting change, 4 if the outcome is unknown.
 
-        After exit code 4 the change may be in force or may still come into force. Publish
-        again with the printed --id: it then takes effect once, however often it is sent.
+        After exit code 4 the change may be in force or may still take effect. Publish again with
+        the printed --id: the change takes effect once, however often it is sent.
 
         Args:
-            document: path of the document, in TOML.
-            entry: base URL of an entry's listener for operators.
-            base: version that the document was made from, as `config show` printed it.
-            note: what the change is for.
-            token_file: file with the operators' bearer token.
-            ca_file: file with the certificates that sign the listener's, in PEM.
-            id: name of the change, to repeat one whose answer was lost; made up otherwise.
+            document: path of the TOML document.
+            entry: base URL of an entry's operators listener.
+            base: version that the document is based on, as printed by `config show`.
+            note: reason for the change.
+            token_file: file with the bearer token for operators.
+            ca_file: PEM file with the CA certificates that sign the listener's certificate.
+            id: id of the change, to repeat one whose outcome is unknown; generated unless given.
         """
         proposal = Proposal(
             id=str(id) or uuid.uuid4().hex,
@@ -134,11 +134,13 @@
             reply = _client(entry, token_file, ca_file).publish_config(proposal)
         except OpenChangeError as error:
             print(f"zincwell: {error}", file=sys.stderr)
-            print(f"not known whether it took effect; repeat with --id={proposal.id}")
-            sys.exit(EXIT_OPEN)
+            print(
+                f"outcome unknown: the change may have taken effect; repeat with --id={proposal.id}"
+            )
+            sys.exit(EXIT_OUTCOME_UNKNOWN)
         if not reply.accepted:
             _print_rejection(reply)
-            sys.exit(EXIT_LOST_RACE)
+            sys.exit(EXIT_CONFLICT)
         print(f"accepted as {proposal.id}: version {reply.version} is in force")
 
 
@@ -150,7 +152,7 @@
 
     @command
     def entry(self, settings: str) -> None:
-        """Run an entry until SIGTERM, then drain it.
+        """Run an entry until SIGTERM or SIGINT, then drain it.
 
         Args:
             settings: path of the settings file.
@@ -159,17 +161,17 @@
 
     @command
     def demo(self) -> None:
-        """Run a real job through an entry, a platform and workers, all in this process."""
+        """Run a job through an entry, a platform and workers, all in this process."""
         run_demo()
 
     @command
     def status(self, *entries: str, token_file: str = "", ca_file: str = "") -> None:
-        """Print the state of entries, one JSON object a line; exit code 1 if one is missing.
+        """Print the state of entries, one JSON object per line; exit code 1 if any call fails.
 
         Args:
-            entries: base URLs of entries' listeners for operators.
-            token_file: file with the operators' bearer token.
-            ca_file: file with the certificates that sign the listener's, in PEM.
+            entries: base URLs of the entries' operators listeners.
+            token_file: file with the bearer token for operators.
+            ca_file: PEM file with the CA certificates that sign the listener's certificate.
         """
         failed = False
         for entry in entries:
@@ -188,37 +190,37 @@
         """Print the metrics of an entry as JSON.
 
         Args:
-            entry: base URL of its listener for operators.
-            token_file: file with the operators' bearer token.
-            ca_file: file with the certificates that sign the listener's, in PEM.
+            entry: base URL of its operators listener.
+            token_file: file with the bearer token for operators.
+            ca_file: PEM file with the CA certificates that sign the listener's certificate.
         """
         metrics = _client(entry, token_file, ca_file).metrics()
         print(json.dumps(metrics, indent=2))
 
     @command
     def reference(self) -> None:
-        """Print the page of all settings and of the configuration document, in Markdown."""
+        """Print the reference of the settings and the configuration document, in Markdown."""
         print(make_reference(), end="")
 
     @command
     def explain(self, job: str, *logs: str) -> None:
-        """Show the timeline of a job from the logs of entries.
+        """Print the timeline of a job from the logs of the entries.
 
         Args:
             job: id of the job.
-            logs: files with the logs of all entries, in any order.
+            logs: log files of all entries, in any order.
         """
         for line in explain_job(str(job), [Path(str(log)) for log in logs]):
             print(line)
 
     @command
     def drain(self, entry: str, *, token_file: str = "", ca_file: str = "") -> None:
-        """Tell an entry to finish what it has and end.
+        """Tell an entry to finish its work in progress and exit.
 
         Args:
-            entry: base URL of its listener for operators.
-            token_file: file with the operators' bearer token.
-            ca_file: file with the certificates that sign the listener's, in PEM.
+            entry: base URL of its operators listener.
+            token_file: file with the bearer token for operators.
+            ca_file: PEM file with the CA certificates that sign the listener's certificate.
         """
         _client(entry, token_file, ca_file).drain()
         print("draining")
@@ -236,7 +238,7 @@
 
 
 def name_operator() -> str:
-    """Return the name of whoever runs the command, for the record of a change."""
+    """Return the user who runs the command, recorded as the author of a change."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -244,9 +246,9 @@
 
 
 def read_valid_document(path: str) -> dict[str, Any]:
-    """Read a configuration document and check it.
+    """Read and validate a configuration document.
 
-    :raises DocumentError: naming the file and each field that is wrong.
+    :raises DocumentError: with the file and each invalid field.
     """
     value = read_document(path)
     faults = [f"{path}: {fault.key}: {fault.message}" for fault in find_document_faults(value)]
@@ -256,7 +258,7 @@
 
 
 def read_document(path: str) -> dict[str, Any]:
-    """Read a configuration document in TOML.
+    """Read a configuration document from a TOML file.
 
     :raises DocumentError: if the file can't be read or is not TOML.
     """
@@ -269,14 +271,16 @@
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Run a command; an error that a user can mend is one line, without a traceback.
+    """Run a command; an expected error is printed as one line, without a traceback.
 
-    :param arguments: words after the program's name; those of this process unless given.
+    :param arguments: command-line arguments; those of this process unless given.
     """
     try:
-        chosen = fire.Fire(Commands(), command=arguments, name="zincwell", serialize=_hide_pending)
-        if isinstance(chosen, Pending):
-            chosen.action()
+        result = fire.Fire(
+            Commands(), command=arguments, name="zincwell", serialize=_suppress_output
+        )
+        if isinstance(result, DeferredCommand):
+            result.action()
     except ZincwellError as error:
         for line in str(error).splitlines():
             print(f"zincwell: {line}", file=sys.stderr)
@@ -285,6 +289,6 @@
         sys.exit(EXIT_INTERRUPTED)
 
 
-def _hide_pending(value: Any) -> Any:
-    """Keep fire from printing a command that is about to run."""
-    return None if isinstance(value, Pending) else value
+def _suppress_output(value: Any) -> Any:
+    """Keep fire from printing a deferred command."""
+    return None if isinstance(value, DeferredCommand) else value
--- a/zincwell/document.py
+++ b/zincwell/document.py
@@ -1,4 +1,4 @@
-"""The configuration document: what operators agree on for the whole system."""
+"""The configuration document, shared by all entries of the system."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class Admission(enum.StrEnum):
-    """How queueing delay is limited at arrival.
+    """How admission control limits the queueing delay.
 
-    ``bounded`` takes in all up to a bound on queued tasks; ``feasible`` takes in what can
-    start before its limit.
+    ``bounded`` accepts all tasks up to a maximum queue length; ``feasible`` accepts tasks that
+    are expected to start before their limit.
     """
 
     BOUNDED = "bounded"
@@ -123,30 +123,30 @@
 
 
 def parse_document(value: object) -> Document:
-    """Check a document given as plain JSON or TOML values.
+    """Validate a document given as plain JSON or TOML values.
 
-    :raises DocumentError: naming each field that is wrong.
+    :raises DocumentError: with each invalid field.
     """
     try:
         document = msgspec.convert(value, Document)
     except msgspec.ValidationError as error:
         faults = list(find_document_faults(value))
         raise DocumentError("; ".join(map(str, faults)) or str(error)) from error
-    faults = list(_find_mismatches(value))
+    faults = list(_find_conflicts(value))
     if faults:
         raise DocumentError("; ".join(map(str, faults)))
     return document
 
 
 def find_document_faults(value: object) -> Iterator[Fault]:
-    """Yield everything that is wrong in a document, by field."""
+    """Yield all faults of a document, with the path of each field."""
     yield from find_faults(value, Document)
     if isinstance(value, dict):
-        yield from _find_mismatches(value)
+        yield from _find_conflicts(value)
 
 
-def _find_mismatches(value: dict[str, Any]) -> Iterator[Fault]:
-    """Yield what is wrong between fields that are each allowed."""
+def _find_conflicts(value: dict[str, Any]) -> Iterator[Fault]:
+    """Yield faults between fields that are valid on their own."""
     pools, services = value.get("pools"), value.get("services")
     if isinstance(pools, dict) and isinstance(services, dict):
         yield from _find_unknown_pools(pools, services)
--- a/zincwell/reference.py
+++ b/zincwell/reference.py
@@ -1,6 +1,6 @@
-"""The reference of settings and of the configuration document, made from the code.
+"""Reference of the settings and the configuration document, generated from the code.
 
-Run ``zincwell reference > docs/settings.md`` after a change of either; a test compares them.
+Run ``zincwell reference > docs/settings.md`` after changing either; a test compares the two.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
 Each service must name one of the pools, and no domain may stand twice. Names are 1 to 64
 letters, digits, dots, underscores and hyphens.
 """
-PARAM = re.compile(r":param (\w+):(.*?)(?=\n\s*:param |\Z)", re.DOTALL)
+PARAM_PATTERN = re.compile(r":param (\w+):(.*?)(?=\n\s*:param |\Z)", re.DOTALL)
 
 
 class FieldNote(Struct, frozen=True, kw_only=True):
-    """What is said of one field.
+    """Documentation of one field.
 
-    :param default: as written in TOML; empty if a value is required.
+    :param default: default value in TOML syntax; empty if the field is required.
     """
 
     name: str
@@ -60,8 +60,8 @@
 
 @functools.cache
 def list_notes(struct: type[Struct]) -> tuple[FieldNote, ...]:
-    """Return what is said of each plain field of a struct."""
-    meaning_by_name = read_meanings(struct)
+    """Return the documentation of each field of a struct that is not a table itself."""
+    meaning_by_name = parse_field_docs(struct)
     return tuple(
         FieldNote(
             name=field.name,
@@ -75,14 +75,14 @@
     )
 
 
-def read_meanings(struct: type[Struct]) -> dict[str, str]:
-    """Return the ``:param:`` lines of a struct's docstring by field."""
-    found = PARAM.findall(struct.__doc__ or "")
+def parse_field_docs(struct: type[Struct]) -> dict[str, str]:
+    """Return the ``:param:`` texts of a struct's docstring by field name."""
+    found = PARAM_PATTERN.findall(struct.__doc__ or "")
     return {name: " ".join(text.split()) for name, text in found}
 
 
 def describe_type(type_: Any) -> str:
-    """Return a type with its bounds, for a reader."""
+    """Return the description of a type with its bounds."""
     choices = list_choices(type_)
     if choices:
         return "one of " + ", ".join(f"`{choice}`" for choice in choices)
@@ -97,18 +97,18 @@
 
 
 def describe_bounds(meta: Meta) -> str:
-    """Return the bounds of a value, for a reader."""
+    """Return the description of the bounds of a value."""
     if meta.pattern is not None:
         return " (a name)"
     bounds = {"≥": meta.ge, ">": meta.gt, "≤": meta.le, "<": meta.lt}
-    told = [f"{sign} {bound:,}" for sign, bound in bounds.items() if bound is not None]
+    limits = [f"{sign} {bound:,}" for sign, bound in bounds.items() if bound is not None]
     if meta.min_length:
-        told.append("not empty")
-    return f", {', '.join(told)}" if told else ""
+        limits.append("not empty")
+    return f", {', '.join(limits)}" if limits else ""
 
 
 def describe_default(field: msgspec.structs.FieldInfo) -> str:
-    """Return a field's default as written in TOML; empty if there is none."""
+    """Return a field's default in TOML syntax; empty if there is none."""
     if field.default is NODEFAULT:
         return ""
     value = field.default
@@ -122,14 +122,14 @@
 
 
 def inner_struct(type_: Any) -> type[Struct] | None:
-    """Return the struct that a field or the entries of a mapping are, if it is one."""
+    """Return the struct that a field, or each value of a mapping, holds; None if there is none."""
     if get_origin(type_) is dict:
         type_ = get_args(type_)[1]
     return type_ if is_struct(type_) else None
 
 
 def make_reference() -> str:
-    """Return the page in Markdown."""
+    """Return the reference page in Markdown."""
     lines = [INTRODUCTION, "## Settings", "", SETTINGS_NOTE]
     lines += _describe_tables(Settings)
     lines += ["## Configuration document", "", DOCUMENT_NOTE]
@@ -159,9 +159,9 @@
     yield "|---|---|---|---|"
     for note in list_notes(struct):
         default = f"`{note.default}`" if note.default else "required"
-        yield f"| `{note.name}` | {note.type} | {default} | {_capital(note.meaning)} |"
+        yield f"| `{note.name}` | {note.type} | {default} | {_capitalize_first(note.meaning)} |"
     yield ""
 
 
-def _capital(text: str) -> str:
+def _capitalize_first(text: str) -> str:
     return text[:1].upper() + text[1:]
--- a/zincwell/settings.py
+++ b/zincwell/settings.py
@@ -1,7 +1,7 @@
-"""Settings of one process, read from TOML and checked at start.
+"""Settings of one entry process, read from a TOML file and validated at start.
 
-Settings say what differs from VM to VM: addresses, failure domain, files of secrets. What
-operators agree on for the whole system is the configuration document.
+Settings hold what differs between VMs: addresses, failure domain, paths of secret files. The
+configuration of the whole system is in the configuration document.
 """
 
 from __future__ import annotations
@@ -132,22 +132,22 @@
 def load_settings(path: str | Path) -> Settings:
     """Read a settings file.
 
-    :raises SettingsError: naming the file, the key and what is allowed.
+    :raises SettingsError: with the file, the key and the allowed values.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
-        raise SettingsError(f"{path}: not text in UTF-8") from error
+        raise SettingsError(f"{path}: not valid UTF-8") from error
     return parse_settings(text, source=str(path))
 
 
 def parse_settings(text: str, *, source: str) -> Settings:
-    """Check the text of a settings file.
+    """Parse and validate the text of a settings file.
 
-    :param source: what to call the text in an error.
-    :raises SettingsError: naming the source, the key and what is allowed.
+    :param source: name of the text in error messages.
+    :raises SettingsError: with the source, the key and the allowed values.
     """
     try:
         value = tomllib.loads(text)
@@ -165,9 +165,9 @@
 
 
 def check_settings(settings: Settings) -> None:
-    """Check what no single value shows.
+    """Validate constraints between several settings.
 
-    :raises SettingsError: naming the keys that don't go together.
+    :raises SettingsError: with the keys that conflict.
     """
     _check_timing(settings.timing)
     for name in ("callers", "peers", "operators"):
@@ -177,37 +177,37 @@
 
 
 def _check_timing(timing: TimingSettings) -> None:
-    """Refuse periods under which two homes could grant the same key."""
+    """Reject periods that would let two homes grant the same key."""
     if timing.peer_silence_s <= 2 * timing.seat_lease_s:
-        raise SettingsError("timing.peer_silence_s must be over twice timing.seat_lease_s")
+        raise SettingsError("timing.peer_silence_s must be greater than twice timing.seat_lease_s")
     if timing.heartbeat_s * 3 > timing.seat_lease_s:
-        raise SettingsError("timing.seat_lease_s must be over 3 timing.heartbeat_s")
+        raise SettingsError("timing.seat_lease_s must be at least 3 times timing.heartbeat_s")
 
 
 def _check_listener(name: str, listener: ListenerSettings) -> None:
     try:
         ipaddress.IPv4Address(listener.host)
     except ValueError as error:
-        raise SettingsError(f"{name}.host: {listener.host!r} is not an IPv4 number") from error
+        raise SettingsError(f"{name}.host: {listener.host!r} is not an IPv4 address") from error
     if listener.tls_key and not listener.tls_cert:
-        raise SettingsError(f"{name}.tls_key is set without {name}.tls_cert")
+        raise SettingsError(f"{name}.tls_key requires {name}.tls_cert")
 
 
 def _check_secret(name: str, listener: ListenerSettings, key: str, settings: Settings) -> None:
-    """Refuse a listener that anyone on the network could command.
+    """Reject a listener that is reachable from the network and has no secret.
 
-    Without this, a forgotten line of the settings opens the configuration, or the claims on
-    callers' keys, to every machine that reaches the VM, and nobody would notice.
+    Without this check, a missing line in the settings would silently open the configuration, or
+    the claims on callers' keys, to every host that can reach the VM.
     """
     if getattr(settings, key) or ipaddress.IPv4Address(listener.host).is_loopback:
         return
     raise SettingsError(
-        f"{name}.host: {listener.host} is not a loopback address, which needs {key} to be set"
+        f"{name}.host: {listener.host} is not a loopback address; {key} is required"
     )
 
 
 def read_secret(path: str) -> str:
-    """Return what a file of a secret holds, or nothing for no file.
+    """Return the secret in a file, or an empty string if the path is empty.
 
     :raises SettingsError: if the file can't be read or is empty.
     """
@@ -218,7 +218,7 @@
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
-        raise SettingsError(f"{path}: not text in UTF-8") from error
+        raise SettingsError(f"{path}: not valid UTF-8") from error
     if not secret:
         raise SettingsError(f"{path}: the file is empty")
     return secret
--- a/zincwell/status.py
+++ b/zincwell/status.py
@@ -1,4 +1,4 @@
-"""An entry's state as operators see it."""
+"""The state of an entry, as shown to operators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WorkerStatus(Struct, frozen=True, kw_only=True):
-    """A worker as this entry sees it."""
+    """The state of a worker, as seen by this entry."""
 
     worker: str
     pool: str
@@ -24,12 +24,12 @@
 
 
 class Status(Struct, frozen=True, kw_only=True):
-    """An entry's state, for operators.
+    """The state of an entry, for operators.
 
-    :param may_grant: whether it now grants keys as a home.
-    :param config_version: version of the configuration in force here; -1 for none.
-    :param keys: keys that it remembers as a home.
-    :param jobs: jobs that it owns or keeps answers of.
+    :param may_grant: whether it may currently grant keys as a home.
+    :param config_version: version of the configuration in force; -1 for none.
+    :param keys: number of keys that it remembers as a home.
+    :param jobs: number of jobs that it owns or whose answers it keeps.
     """
 
     vm: str
@@ -48,7 +48,7 @@
 
 
 def describe(entry: Entry) -> Status:
-    """Return what this entry is and knows, for operators."""
+    """Return the state of an entry, for operators."""
     workers = [
         WorkerStatus(
             worker=worker.name,
