--- a/zincwell/standins/__init__.py
+++ b/zincwell/standins/__init__.py
@@ -1,7 +1,7 @@
-"""Small stand-ins for the platform and the workers, for the demo, tests and measurements.
+"""In-memory fakes of the platform and the workers, for the demo, tests and benchmarks.
 
-None of this runs in production: it shows the protocols of docs/protocols.md from the other
-side and can be told to misbehave.
+Not for production. They implement the server side of the protocols in docs/protocols.md and have
+switches to inject faults.
 """
 
 from zincwell.standins._directory import StandinDirectory
--- a/zincwell/standins/__main__.py
+++ b/zincwell/standins/__main__.py
@@ -28,15 +28,15 @@
     """Stand-ins for the platform and the workers."""
 
     def log(self, port: int = 0) -> None:
-        """Run a log."""
+        """Run a log service."""
         _run(StandinLog, port)
 
     def directory(self, port: int = 0) -> None:
-        """Run a list of VMs."""
+        """Run a VM directory."""
         _run(StandinDirectory, port)
 
     def worker(self, port: int = 0, slots: int = 8) -> None:
-        """Run a worker."""
+        """Run a worker with a number of slots."""
         _run(StandinWorker, port, slots=slots)
 
 
--- a/zincwell/standins/_directory.py
+++ b/zincwell/standins/_directory.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's lagging list of VMs."""
+"""Stand-in for the platform's VM directory, which may return stale lists."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 from zincwell.adapters._platform import ListReply
 from zincwell.ports import Vm
-from zincwell.standins._server import StandinServer, reply, swallow
+from zincwell.standins._server import StandinServer, never_answer, reply
 
 
 class StandinDirectory(StandinServer):
-    """List kept in memory; ``PUT /vms/{vm}`` and ``DELETE /vms/{vm}`` change it.
+    """VM directory in memory; ``PUT /vms/{vm}`` and ``DELETE /vms/{vm}`` change it.
 
-    Switches: ``down`` swallows reads, ``lag_s`` delays what readers see, ``empty`` shows none.
+    Switches: ``down`` leaves reads unanswered, ``lag_s`` answers that many seconds after the
+    list was read, ``empty`` returns an empty list.
     """
 
     switches = frozenset({"down", "lag_s", "empty"})
@@ -31,15 +32,15 @@
         self.app.router.add_delete("/vms/{vm}", self._delete)
 
     def put(self, vm: Vm) -> None:
-        """Set a row."""
+        """Add or replace a VM."""
         self.vms_by_name[vm.vm] = vm
 
     async def _list(self, _: web.Request) -> web.Response:
         if self.down:
-            return await swallow()
-        seen = [] if self.empty else list(self.vms_by_name.values())
+            return await never_answer()
+        listed = [] if self.empty else list(self.vms_by_name.values())
         await asyncio.sleep(self.lag_s)
-        return reply(ListReply(vms=seen))
+        return reply(ListReply(vms=listed))
 
     async def _put(self, request: web.Request) -> web.Response:
         self.put(msgspec.json.decode(await request.read(), type=Vm))
--- a/zincwell/standins/_log.py
+++ b/zincwell/standins/_log.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's append-only log."""
+"""Stand-in for the platform's append-only log service."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from zincwell.adapters._platform import AppendReply, ReadReply
 from zincwell.ports import Record
-from zincwell.standins._server import StandinServer, reply, swallow
+from zincwell.standins._server import StandinServer, never_answer, reply
 
-APPEND_S = 0.003
+APPEND_TIME_S = 0.003
 
 
 class StandinLog(StandinServer):
-    """Log kept in memory.
+    """Log service in memory.
 
-    Switches: ``down`` swallows every call, ``lose_answers`` takes that many appends and
-    answers none, ``append_s`` is the time of an append, ``drop`` maps streams to the offset
-    before which records are no longer kept.
+    Switches: ``down`` leaves every call unanswered, ``lose_answers`` stores that many appends
+    without answering them, ``append_s`` is the duration of an append, ``drop`` maps a stream to
+    the offset of its first retained record.
     """
 
     switches = frozenset({"down", "lose_answers", "append_s", "drop"})
@@ -28,24 +28,24 @@
         super().__init__()
         self.down = False
         self.lose_answers = 0
-        self.append_s = APPEND_S
+        self.append_s = APPEND_TIME_S
         self.drop: dict[str, int] = {}
         self.appends = 0
         self._records_by_stream: dict[str, list[Record]] = {}
         self._next_by_stream: dict[str, int] = {}
-        self._grown = asyncio.Condition()
+        self._appended = asyncio.Condition()
         self.app.router.add_post("/streams/{stream}", self._append)
         self.app.router.add_get("/streams/{stream}", self._read)
 
     async def _append(self, request: web.Request) -> web.Response:
         if self.down:
-            return await swallow()
+            return await never_answer()
         value = msgspec.json.decode(await request.read(), type=dict)
         await asyncio.sleep(self.append_s)
         offset = await self._store(request.match_info["stream"], value)
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            return await swallow()
+            return await never_answer()
         return reply(AppendReply(offset=offset))
 
     async def _store(self, stream: str, value: dict) -> int:
@@ -54,19 +54,19 @@
         records = self._records_by_stream.setdefault(stream, [])
         records.append(Record(offset=offset, value=value))
         self.appends += 1
-        async with self._grown:
-            self._grown.notify_all()
+        async with self._appended:
+            self._appended.notify_all()
         return offset
 
     async def _read(self, request: web.Request) -> web.Response:
         if self.down:
-            return await swallow()
+            return await never_answer()
         stream = request.match_info["stream"]
         start = int(request.query["from"])
         wait_s = int(request.query.get("wait_ms", "0")) / 1000
         await self._wait_for(stream, start, wait_s)
         if self.down:
-            return await swallow()
+            return await never_answer()
         records = self._records_by_stream.get(stream, [])
         first = self.drop.get(stream, 0)
         if start < first:
@@ -74,11 +74,11 @@
         return reply(ReadReply(first=first, records=records[start:][:500]))
 
     async def _wait_for(self, stream: str, start: int, wait_s: float) -> None:
-        async def grown() -> None:
-            async with self._grown:
-                await self._grown.wait_for(lambda: self._next_by_stream.get(stream, 0) > start)
+        async def records_available() -> None:
+            async with self._appended:
+                await self._appended.wait_for(lambda: self._next_by_stream.get(stream, 0) > start)
 
         try:
-            await asyncio.wait_for(grown(), wait_s)
+            await asyncio.wait_for(records_available(), wait_s)
         except TimeoutError:
             return
--- a/zincwell/standins/_server.py
+++ b/zincwell/standins/_server.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: an aiohttp server on a port that the system chose."""
+"""Base of the stand-ins: an aiohttp server on a given or a free port."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class StandinServer:
-    """Base of a stand-in: routes, a port and switches.
+    """Base of a stand-in: an HTTP server with switches that inject faults.
 
-    ``POST /control`` with a JSON object sets switches (attributes named in ``switches``).
+    ``POST /control`` with a JSON object sets the attributes named in ``switches``.
     """
 
     switches: frozenset[str] = frozenset()
@@ -26,7 +26,10 @@
         self._runner: web.AppRunner | None = None
 
     async def open(self, *, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Start to listen and return the base URL."""
+        """Start to listen and return the base URL.
+
+        :param port: TCP port; 0 lets the operating system choose.
+        """
         self._runner = web.AppRunner(self.app, access_log=None, shutdown_timeout=0.1)
         await self._runner.setup()
         site = web.TCPSite(self._runner, host, port)
@@ -36,7 +39,7 @@
         return self.url
 
     async def close(self) -> None:
-        """Stop to listen."""
+        """Stop the server."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -51,12 +54,12 @@
 
 
 def reply(value: object, *, status: int = 200) -> web.Response:
-    """Make a JSON answer of a message."""
+    """Return a JSON response with a message as its body."""
     body = msgspec.json.encode(value)
     return web.Response(body=body, status=status, content_type="application/json")
 
 
-async def swallow() -> web.Response:
-    """Never answer, as an outage that drops what arrives does."""
+async def never_answer() -> web.Response:
+    """Wait forever, as in an outage in which requests are dropped silently."""
     await asyncio.Event().wait()
     raise AssertionError("unreachable")
--- a/zincwell/standins/_worker.py
+++ b/zincwell/standins/_worker.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker: sleeps instead of working and keeps a ledger of its starts."""
+"""Stand-in for a worker: simulates tasks by sleeping and records their starts in a ledger."""
 
 from __future__ import annotations
 
@@ -16,14 +16,16 @@
 from zincwell.ports import EventKind, Start, WorkerEvent, WorkerLease
 from zincwell.standins._server import StandinServer, reply
 
-BEAT_S = 0.3
-MAX_KEPT = 200_000
+HEARTBEAT_S = 0.3
+MAX_REMEMBERED_TASKS = 200_000
 
 
 class Work(Struct, frozen=True):
-    """What a stand-in worker makes of a payload: sleep, then echo.
+    """Payload of a simulated task: sleep, then return the echo.
 
-    :param fail: end as a failure of the task itself.
+    :param sleep_ms: run time.
+    :param echo: output of the task.
+    :param fail: fail the task at once with ``task_error``.
     """
 
     sleep_ms: float = 0
@@ -31,8 +33,12 @@
     fail: bool = False
 
 
-class Started(Struct, frozen=True):
-    """One line of the ledger: this task was started, by this entry."""
+class LedgerRecord(Struct, frozen=True):
+    """One record of the ledger: the start of a task.
+
+    :param entry: entry that started it.
+    :param at: Unix time of the start in seconds.
+    """
 
     id: str
     entry: str
@@ -41,11 +47,14 @@
 
 @dataclass
 class _Run:
-    """State of one task id at the worker."""
+    """State of one task id at the worker.
+
+    :param final: last event of the task, None while it runs.
+    """
 
     final: WorkerEvent | None = None
     done: asyncio.Event = field(default_factory=asyncio.Event)
-    job: asyncio.Task | None = None
+    simulation: asyncio.Task | None = None
 
     def end(self, event: WorkerEvent) -> None:
         if self.final is None:
@@ -54,13 +63,13 @@
 
 
 class StandinWorker(StandinServer):
-    """Worker with slots.
+    """Worker with a number of slots.
 
-    Switches: ``fail_all`` fails each task at once, ``slow`` multiplies run times, ``leaving``
-    refuses starts, ``truncate`` cuts that many outputs, ``short`` sends that many outputs with a
-    character missing in a whole line, ``cross`` answers that many tasks under
-    another's id, ``break_after_start`` closes that many streams right after the start,
-    ``delay_s`` holds answers back.
+    Switches: ``fail_all`` fails every task at once, ``slow`` multiplies run times, ``leaving``
+    refuses starts, ``truncate`` closes the stream in the middle of that many result lines,
+    ``short`` drops the last byte of that many outputs in otherwise complete lines, ``cross`` sends
+    that many results with the id of another task, ``break_after_start`` closes that many streams
+    right after the start, ``delay_s`` delays results, ``slots`` is the number of slots.
     """
 
     switches = frozenset(
@@ -90,7 +99,7 @@
         self.delay_s = 0.0
         self.run = uuid.uuid4().hex
         self.running = 0
-        self.ledger: list[Started] = []
+        self.ledger: list[LedgerRecord] = []
         self.calls_by_kind: dict[str, int] = {}
         self._runs_by_id: dict[str, _Run] = {}
         self._expiry_by_lease: dict[str, float] = {}
@@ -134,7 +143,7 @@
             self.break_after_start -= 1
             request.transport.close()
             return response
-        await self._follow(response, watched)
+        await self._stream_results(response, watched)
         return response
 
     def _admit(self, task: Start, call: StartCall) -> WorkerEvent:
@@ -148,9 +157,9 @@
         run = _Run()
         self._remember(task.id, run)
         self.running += 1
-        self.ledger.append(Started(id=task.id, entry=call.entry, at=time.time()))
-        run.job = asyncio.create_task(self._work(task, run))
-        run.job.add_done_callback(self._release_slot)
+        self.ledger.append(LedgerRecord(id=task.id, entry=call.entry, at=time.time()))
+        run.simulation = asyncio.create_task(self._work(task, run))
+        run.simulation.add_done_callback(self._release_slot)
         return WorkerEvent(kind=EventKind.ACCEPTED, id=task.id, running=self.running)
 
     def _reason_to_refuse(self, task_id: str, lease: str) -> str:
@@ -202,17 +211,17 @@
             run = self._runs_by_id.get(task_id)
             if run is None or run.final is None:
                 await _send(response, self._event(EventKind.RUNNING, task_id))
-        await self._follow(response, watched)
+        await self._stream_results(response, watched)
         return response
 
     def _fence(self, task_id: str) -> WorkerEvent:
-        """Leave a tombstone, so that a start of the id that is still on its way is refused."""
+        """Record a tombstone for a task id, so that a start that arrives later is refused."""
         run = _Run()
         run.end(self._event(EventKind.FENCED, task_id, reason="never seen"))
         self._remember(task_id, run)
         return run.final
 
-    async def _follow(self, response: web.StreamResponse, ids: list[str]) -> None:
+    async def _stream_results(self, response: web.StreamResponse, ids: list[str]) -> None:
         waits = {
             asyncio.create_task(self._runs_by_id[task_id].done.wait()): task_id
             for task_id in ids
@@ -221,12 +230,12 @@
         try:
             while waits:
                 done, _ = await asyncio.wait(
-                    waits, timeout=BEAT_S, return_when=asyncio.FIRST_COMPLETED
+                    waits, timeout=HEARTBEAT_S, return_when=asyncio.FIRST_COMPLETED
                 )
                 if not done:
                     await _send(response, WorkerEvent(kind=EventKind.BEAT, running=self.running))
                 for wait in done:
-                    await self._answer(response, waits.pop(wait))
+                    await self._send_result(response, waits.pop(wait))
             await response.write_eof()
         except ConnectionError:
             return
@@ -234,7 +243,7 @@
             for wait in waits:
                 wait.cancel()
 
-    async def _answer(self, response: web.StreamResponse, task_id: str) -> None:
+    async def _send_result(self, response: web.StreamResponse, task_id: str) -> None:
         event = self._runs_by_id[task_id].final
         await asyncio.sleep(self.delay_s)
         event = msgspec.structs.replace(event, running=self.running)
@@ -261,8 +270,8 @@
             if run is None:
                 events.append(self._fence(task_id))
                 continue
-            if run.final is None and run.job is not None:
-                run.job.cancel()
+            if run.final is None and run.simulation is not None:
+                run.simulation.cancel()
                 run.end(self._event(EventKind.STOPPED, task_id, reason="stopped"))
             else:
                 self._count("stop_of_finished")
@@ -277,7 +286,7 @@
 
     def _remember(self, task_id: str, run: _Run) -> None:
         self._runs_by_id[task_id] = run
-        while len(self._runs_by_id) > MAX_KEPT:
+        while len(self._runs_by_id) > MAX_REMEMBERED_TASKS:
             self._runs_by_id.pop(next(iter(self._runs_by_id)))
 
     def _count(self, kind: str) -> None:
