--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Separate processes of a small system: platform, workers and entries, on loopback."""
+"""A small system of separate processes on loopback: platform, workers and entries."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 def task_name(start_id: str) -> str:
-    """Return the task that a start is of, ``key#index``, in whichever domain it ran.
+    """Return the task of a start as ``key#index``, whichever domain it ran in.
 
-    A task that was spilled has its owner's id as the key of its start there, as in
-    ``key#3.1#0.1``, so the name ends at the first full stop after the first ``#``.
+    The start of a spilled task has the id given by its owner as its key, as in ``key#3.1#0.1``,
+    so the task name ends at the first full stop after the first ``#``.
     """
     key, _, rest = start_id.partition("#")
     return f"{key}#{rest.partition('.')[0]}"
@@ -39,7 +39,7 @@
 
 @dataclass(kw_only=True)
 class Process:
-    """One process and what it said of its addresses."""
+    """One process and the addresses that it printed at start."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -68,7 +68,7 @@
 
 @dataclass(kw_only=True)
 class EntryProcess(Process):
-    """One entry."""
+    """One entry and the relay to its peers listener."""
 
     vm: str
     domain: str
@@ -86,7 +86,7 @@
 
 @dataclass(kw_only=True)
 class WorkerProcess(Process):
-    """One worker."""
+    """One worker and the relay to it."""
 
     vm: str
     domain: str
@@ -99,7 +99,7 @@
 
 @dataclass(kw_only=True)
 class Cluster:
-    """The whole system; make it with the ``cluster`` fixture."""
+    """The whole system; created by the ``cluster`` fixture."""
 
     folder: Path
     session: aiohttp.ClientSession
@@ -118,10 +118,15 @@
     entry_numbers: Iterator[int] = field(default_factory=itertools.count)
     worker_numbers: Iterator[int] = field(default_factory=itertools.count)
 
-    # -- building ------------------------------------------------------------------------
+    # -- setup ---------------------------------------------------------------------------
 
     async def open(self, *, domains: dict[str, tuple[int, int]], slots: int = 8, **document):
-        """Start a platform and for each domain a number of entries and of workers."""
+        """Start a platform and, for each domain, a number of entries and of workers.
+
+        :param domains: numbers of entries and of workers by domain.
+        :param slots: slots of each worker.
+        :param document: further tables of the configuration document.
+        """
         await self.open_platform()
         await self.publish(
             {
@@ -239,13 +244,13 @@
     # -- faults --------------------------------------------------------------------------
 
     def cut_domains(self, one: str, other: str) -> None:
-        """Cut entries of two domains off each other, and off each other's workers."""
-        self._between(one, other, Relay.cut)
+        """Cut the links from the entries of each domain to the entries and workers of the other."""
+        self._for_links_between(one, other, Relay.cut)
 
     def heal_domains(self, one: str, other: str) -> None:
-        self._between(one, other, Relay.heal)
+        self._for_links_between(one, other, Relay.heal)
 
-    def _between(self, one: str, other: str, act: Callable[[Relay, str], None]) -> None:
+    def _for_links_between(self, one: str, other: str, act: Callable[[Relay, str], None]) -> None:
         for here, there in ((one, other), (other, one)):
             sources = [e.address for e in self.entry_by_vm.values() if e.domain == here]
             targets = [*self.entry_by_vm.values(), *self.worker_by_vm.values()]
@@ -255,13 +260,13 @@
                         act(target.relay, source)
 
     def cut_platform(self, domain: str) -> None:
-        """Cut the entries of a domain off the log and the list of VMs."""
-        self._platform(domain, Relay.cut)
+        """Cut the links from the entries of a domain to the log service and the VM directory."""
+        self._for_platform_links(domain, Relay.cut)
 
     def heal_platform(self, domain: str) -> None:
-        self._platform(domain, Relay.heal)
+        self._for_platform_links(domain, Relay.heal)
 
-    def _platform(self, domain: str, act: Callable[[Relay, str], None]) -> None:
+    def _for_platform_links(self, domain: str, act: Callable[[Relay, str], None]) -> None:
         for entry in self.entry_by_vm.values():
             if entry.domain == domain:
                 act(self.log_relay, entry.address)
@@ -271,10 +276,10 @@
         """Set switches of a stand-in."""
         await self.post(process.fields["url"] + "/control", switches)
 
-    # -- talking -------------------------------------------------------------------------
+    # -- calls ---------------------------------------------------------------------------
 
     async def publish(self, patch: dict, *, base: int = -1, change_id: str = "first") -> int:
-        """Append a change of the configuration to the log."""
+        """Append a configuration change to the log and return its offset."""
         record = {"kind": "change", "id": change_id, "base": base, "patch": patch}
         _, answer = await self.post(self.log.fields["url"] + "/streams/config", record)
         return answer["offset"]
@@ -287,17 +292,17 @@
         return await self.post(entry.callers + "/v1/submissions" + suffix, submission)
 
     async def resend(self, entry: EntryProcess, submission: dict) -> dict:
-        """Send again what was sent once, until coming back does not help."""
-        return await self._send_on(entry, submission, attempt=2, never_run=False)
+        """Retry a submission that was sent once before, until there is a final answer."""
+        return await self._retry_until_final(entry, submission, attempt=2, never_run=False)
 
     async def submit_to_end(self, entry: EntryProcess, submission: dict) -> dict:
-        """Send for the first time, and again until coming back does not help."""
-        return await self._send_on(entry, submission, attempt=1, never_run=True)
+        """Send a new submission and retry it until there is a final answer."""
+        return await self._retry_until_final(entry, submission, attempt=1, never_run=True)
 
-    async def _send_on(
+    async def _retry_until_final(
         self, entry: EntryProcess, submission: dict, *, attempt: int, never_run: bool
     ) -> dict:
-        """Send as the client does: attempts counted, retry-after honoured."""
+        """Retry as the client does: numbers the attempts and honours ``retry_after_ms``."""
         for number in range(attempt, attempt + 50):
             sent = {
                 **submission,
@@ -311,7 +316,7 @@
             has_not_run = answer["outcome"] == "not_run" or answer["reason"] == "stale"
             never_run = never_run and has_not_run
             await asyncio.sleep(answer["retry_after_ms"] / 1000)
-        raise AssertionError(f"told to come back for ever: {answer}")
+        raise AssertionError(f"no final answer after 50 attempts: {answer}")
 
     async def post(self, url: str, value: Any) -> tuple[int, Any]:
         async with self.session.post(url, data=msgspec.json.encode(value)) as response:
@@ -329,7 +334,7 @@
         return await self.get(entry.operators + "/status")
 
     async def ledger(self) -> list[dict]:
-        """Return all starts at all workers that still answer."""
+        """Return the starts recorded by all running workers."""
         starts = []
         for worker in self.worker_by_vm.values():
             if worker.process.returncode is None:
@@ -337,12 +342,12 @@
         return starts
 
     async def starts_by_task(self) -> dict[str, int]:
-        """Return the number of starts by task, whatever the placement."""
+        """Return the number of starts by task, whichever worker they ran on."""
         names = (task_name(start["id"]) for start in await self.ledger())
         return dict(collections.Counter(names))
 
     async def wait_started(self, count: int) -> None:
-        """Wait until the workers have started a number of tasks."""
+        """Wait until the workers have recorded a number of starts."""
 
         async def started() -> bool:
             return len(await self.ledger()) >= count
@@ -350,7 +355,7 @@
         await self.wait_for(f"{count} starts", started)
 
     def home_of(self, key: str, *, tenant: str = "school") -> EntryProcess:
-        """Return the live entry that is home to a key of its domain."""
+        """Return the live entry that is the home of a key with a domain prefix."""
         domain = key.partition("/")[0]
         seats = [
             Seat(vm=entry.vm, incarnation="", domain=domain, url="")
@@ -359,10 +364,13 @@
         ]
         return self.entry_by_vm[home_of_key(f"{key}@{tenant}", seats).vm]
 
-    # -- waiting for a condition ---------------------------------------------------------
+    # -- waiting -------------------------------------------------------------------------
 
     async def wait_for(self, what: str, condition: Callable) -> None:
-        """Wait until an asynchronous condition holds."""
+        """Poll an asynchronous condition until it holds.
+
+        :raises AssertionError: after ``WAIT_TIMEOUT_S``.
+        """
 
         async def poll() -> None:
             while not await condition():
@@ -371,10 +379,10 @@
         try:
             await asyncio.wait_for(poll(), WAIT_TIMEOUT_S)
         except TimeoutError:
-            raise AssertionError(f"waited in vain: {what}") from None
+            raise AssertionError(f"timed out waiting for: {what}") from None
 
     async def outlast_clock_margin(self) -> None:
-        """Wait until keys made from now on are newer than the homes, whatever the clocks."""
+        """Wait until new keys are newer than the seats of all homes, even with clocks apart."""
         margin_s = self.timing.get("clock_margin_s", TimingSettings().clock_margin_s)
         until = time.time() + margin_s + 0.1
 
@@ -384,7 +392,7 @@
         await self.wait_for("clock margin over", is_past)
 
     async def wait_settled(self) -> None:
-        """Wait until every entry has its seat, the configuration and its workers."""
+        """Wait until every entry is ready, may grant keys and sees all seats and workers."""
         for entry in self.live_entries():
             await self.wait_for(f"{entry.vm} settled", lambda entry=entry: self._settled(entry))
 
--- a/tests/lone.py
+++ b/tests/lone.py
@@ -1,4 +1,4 @@
-"""One entry in the test's own process, over a stand-in log and list of VMs."""
+"""A single entry in the test process, with a stand-in log service and VM directory."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class LoneEntry:
-    """An entry and its platform."""
+    """An entry and its log service."""
 
     def __init__(self, *, entry: Entry, log: StandinLog):
         self.entry = entry
@@ -32,11 +32,11 @@
 
     @property
     def url(self) -> str:
-        """Base URL of the listener for operators."""
+        """Base URL of the operators listener."""
         return self.entry.operators.url
 
     async def publish(self, patch: dict[str, Any], *, change_id: str) -> int:
-        """Let another operator publish a change and return the version that it made."""
+        """Publish a change as another operator and return the resulting version."""
         change = {
             "kind": "change",
             "id": change_id,
@@ -51,7 +51,7 @@
 
 @contextlib.asynccontextmanager
 async def open_lone_entry(**settings: Any) -> AsyncIterator[LoneEntry]:
-    """Run an entry whose configuration is ``DOCUMENT``, version 0."""
+    """Run an entry with ``DOCUMENT`` as version 0 of its configuration."""
     log, directory = StandinLog(), StandinDirectory()
     await log.open()
     await directory.open()
@@ -76,7 +76,10 @@
 
 
 async def wait_for(what: str, condition: Callable[[], bool]) -> None:
-    """Wait until a condition holds."""
+    """Poll a condition until it holds.
+
+    :raises AssertionError: after ``WAIT_TIMEOUT_S``.
+    """
 
     async def poll() -> None:
         while not condition():
@@ -85,4 +88,4 @@
     try:
         await asyncio.wait_for(poll(), WAIT_TIMEOUT_S)
     except TimeoutError:
-        raise AssertionError(f"waited in vain: {what}") from None
+        raise AssertionError(f"timed out waiting for: {what}") from None
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: what it opens, what it starts, how it leaves."""
+"""The daemon process: its descriptors, child processes and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 async def test_opens_no_ring_and_starts_no_process(cluster: Cluster):
     """A running daemon has no io_uring descriptor, no shared memory and no child process.
 
-    Symptom: the platform refuses to run the daemon. Cause: newer event loops open a ring at
-    loop creation, and sanic's banner starts another process.
+    The platform refuses to run a daemon that has any of them. Newer event loops open an io_uring
+    instance when a loop is created, and sanic's banner starts another process.
     """
     cluster.entry_module = "tests.audited"
     await cluster.open(domains={"kariakoo": (1, 1)})
@@ -43,11 +43,10 @@
 
 
 async def test_sigterm_under_load_cuts_nothing(cluster: Cluster):
-    """A graceful shutdown answers all that it has taken in.
+    """A graceful shutdown answers all accepted jobs.
 
-    Symptom: callers see connections reset during a roll-out. Sequence: SIGTERM arrives while
-    jobs run, are queued and still come in. Cause: the process ends, or closes its listener,
-    before what is in flight is answered.
+    Guards against connections reset during a roll-out: SIGTERM arrives while jobs are running,
+    queued and arriving, and the process exits or closes its listener before they are answered.
     """
     await cluster.open(domains=ONE_DOMAIN)
     leaving, staying = cluster.entry_by_vm.values()
@@ -71,11 +70,11 @@
 
 
 async def test_drained_entry_leaves_its_homes_in_order(cluster: Cluster):
-    """Keys that a drained entry was home to are granted by the next at once.
+    """The next home of a drained entry's keys grants them at once.
 
-    Symptom: after each roll-out, callers are refused for seconds, or a resend starts anew.
-    Sequence: the home of a key drains; the key is sent again, and a new key of the same home.
-    Cause: the seat is left to be found silent, and what the home knew goes with it.
+    The home of a key drains; the key is resubmitted, and a new key of the same home is sent. If
+    the entry left its seat open and handed over nothing, callers would be refused for seconds,
+    until the peers detect its silence, or a resubmission would start its tasks again.
     """
     await cluster.open(domains=ONE_DOMAIN)
     leaving, staying = cluster.entry_by_vm.values()
@@ -96,7 +95,7 @@
 
 
 async def _is_refusing(entry: EntryProcess) -> bool:
-    """Tell whether readiness is off, or the listener already closed."""
+    """Return whether the entry reports not ready or has closed its listener."""
     try:
         async with (
             aiohttp.ClientSession() as session,
--- a/tests/test_faults_platform.py
+++ b/tests/test_faults_platform.py
@@ -1,4 +1,4 @@
-"""The platform fails in its own ways, connections go silent, and callers cancel in waves."""
+"""Faults of the platform, connections that stop answering, pauses, and mass cancellation."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 ONE_DOMAIN = {"kariakoo": (2, 2)}
 ALL_ECHOES = list(range(8))
-WAVE = 100
-TAKE_IN_TRIES = 20
+CANCELLED_JOBS = 100
+ACCEPT_ATTEMPTS = 20
 
 
 async def serve_one(cluster: Cluster, entry: EntryProcess, key: str) -> list:
-    """Run a new job and return its outputs."""
+    """Run a new job and return the outputs of its tasks."""
     return echoes(await cluster.submit_to_end(entry, make_submission(key=key)))
 
 
 async def wait_logged(cluster: Cluster, entry: EntryProcess, event: str) -> None:
-    """Wait until an entry has logged an event."""
+    """Wait until an event is in the log of an entry."""
 
     async def logged() -> bool:
         return event in entry.log_text()
@@ -36,7 +36,7 @@
 
 
 def without_log(cluster: Cluster, entries: list[EntryProcess]) -> Callable[[], Awaitable[bool]]:
-    """Return a condition that holds once no entry reaches the log."""
+    """Return a condition that holds once none of the entries reaches the log service."""
 
     async def missed() -> bool:
         statuses = [await cluster.status(entry) for entry in entries]
@@ -45,14 +45,14 @@
     return missed
 
 
-# -- the list of VMs -------------------------------------------------------------------
+# -- VM directory ----------------------------------------------------------------------
 
 
 async def test_empty_list_of_vms_is_not_believed(cluster: Cluster):
-    """Symptom: all work is refused for want of workers, all of which are fine.
+    """An empty list of VMs does not remove workers that still answer.
 
-    Sequence: the list of VMs comes back empty, again and again; jobs come in. Cause: entries
-    believe the list more than the workers that answer them.
+    Guards against refusing all jobs for lack of workers: the VM directory returns an empty list
+    repeatedly although all workers are healthy.
     """
     await cluster.open(domains=ONE_DOMAIN)
     await cluster.control(cluster.directory, empty=True)
@@ -69,10 +69,10 @@
 
 
 async def test_list_of_vms_that_is_down_keeps_the_workers(cluster: Cluster):
-    """Symptom: an outage of the list alone stops the service.
+    """An outage of the VM directory does not interrupt service.
 
-    Sequence: the list stops to answer; jobs come in; it returns with one more worker. Cause:
-    no list is taken for an empty one, or the entry gives up reading it.
+    The directory stops answering, jobs arrive, and it comes back with one more worker. Guards
+    against treating a failed read as an empty list, and against giving up reading it.
     """
     await cluster.open(domains=ONE_DOMAIN)
     await cluster.control(cluster.directory, down=True)
@@ -88,14 +88,15 @@
     assert_that(served, Equals([ALL_ECHOES, ALL_ECHOES]))
 
 
-# -- connections gone silent -----------------------------------------------------------
+# -- connections that stop answering ---------------------------------------------------
 
 
 async def test_log_connections_gone_silent(cluster: Cluster):
-    """Symptom: a change is accepted and never comes into force at some entries.
+    """Entries follow the log after its open connections have gone silent.
 
-    Sequence: what lies between forgets the open connections to the log; a change is
-    published. Cause: the entries wait for ever on reads that nobody will answer.
+    A middlebox drops the state of the open connections to the log service, and a change is
+    published. Without a timeout, the entries would wait forever for reads that are never
+    answered, and the accepted change would never come into force on them.
     """
     await cluster.open(domains=ONE_DOMAIN)
     entry = cluster.entry_by_vm["entry-0"]
@@ -113,11 +114,12 @@
 
 
 async def test_peer_connections_gone_silent(cluster: Cluster):
-    """Symptom: an entry can't claim keys, nor fetch answers, of a peer that is well.
+    """Entries reach their peers after the open connections have gone silent.
 
-    Sequence: a job runs; what lies between forgets the open connections of the two entries;
-    the caller sends it again to the other entry, then a new key to each. Cause: calls go on
-    into kept connections that no longer lead anywhere.
+    A job runs, and a middlebox drops the state of the open connections between two entries. The
+    caller resubmits the job to the other entry, then sends a new key to each. Guards against
+    calls that keep using dead pooled connections, so that keys can't be claimed and answers
+    can't be fetched from a healthy peer.
     """
     await cluster.open(domains=ONE_DOMAIN)
     await cluster.outlast_clock_margin()
@@ -138,7 +140,7 @@
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
 
 
-# -- cancel waves ----------------------------------------------------------------------
+# -- pauses and mass cancellation ------------------------------------------------------
 
 
 async def cancel(cluster: Cluster, entry: EntryProcess, key: str) -> dict:
@@ -148,7 +150,7 @@
 
 
 def is_idle(cluster: Cluster) -> Callable[[], Awaitable[bool]]:
-    """Return a condition that holds once nothing is queued or placed."""
+    """Return a condition that holds once no task is queued or placed on a worker."""
 
     async def idle() -> bool:
         statuses = [await cluster.status(entry) for entry in cluster.live_entries()]
@@ -160,49 +162,53 @@
 
 
 async def stop_calls(cluster: Cluster) -> list[int]:
-    """Return how many stop messages each worker has had."""
+    """Return the number of stop calls that each worker has received."""
     calls = [await cluster.get(worker.url + "/calls") for worker in cluster.worker_by_vm.values()]
     return [kinds.get("stop", 0) for kinds in calls]
 
 
-async def take_in(cluster: Cluster, entry: EntryProcess, name: str) -> str:
-    """Hand a job in without waiting for its end; return the key under which it was taken in.
+async def submit_until_accepted(cluster: Cluster, entry: EntryProcess, name: str) -> str:
+    """Submit a job without waiting for its end; return the key under which it was accepted.
 
-    An entry that stands still for longer than its seat's lease, as on a busy machine, has to open
-    another seat, and can't know then what became of keys that are older. It says so, and a caller
-    that has not waited for anything takes a new key.
+    An entry that is paused for longer than its seat lease, as on a busy machine, has to open
+    another seat and no longer knows whether older keys were granted. It answers 504
+    ``home_changed``, and the job is submitted again under a new key.
     """
-    for attempt in range(TAKE_IN_TRIES):
+    for attempt in range(ACCEPT_ATTEMPTS):
         key = f"{name}-{attempt}"
         job = make_submission(key=key, tasks=4, sleep_ms=20_000)
         status, answer = await cluster.submit(entry, job, wait=False)
         if status == 202:
             return key
         assert_that((status, answer["reason"]), Equals((504, "home_changed")))
-    raise AssertionError(f"{name}: not taken in")
+    raise AssertionError(f"{name}: not accepted under any key")
 
 
-async def test_submissions_held_up_by_a_pause_are_told_what_is_known(cluster: Cluster):
-    """Symptom: a submission is answered 504 though nothing of it has run.
+async def test_submissions_held_up_by_a_pause_are_told_what_is_known(
+    cluster: Cluster,
+):
+    """Submissions that arrive while their home is paused are answered 504 ``home_changed``.
 
-    Sequence: the entry stands still for longer than its seat's lease while submissions come; then
-    it reads them. Cause: its seat is closed by then, and under the next one it can't know whether
-    keys made before were granted. The answer says "unknown", never "not run", and a new key is
-    served.
+    The entry is paused for longer than its seat lease, and reads the submissions afterwards. Its
+    seat is closed by then, and under its next seat it can't know whether older keys were granted.
+    So the outcome is unknown, never ``not_run``, although nothing has run. A new key is accepted.
     """
     await cluster.open(domains=ONE_DOMAIN)
-    # Sooner, keys of any home would count as unknown.
+    # Keys created earlier than this have an unknown outcome at any home.
     await cluster.outlast_clock_margin()
     keys = keys_at(cluster, home="entry-0", count=8)
     answers = await submit_into_a_pause(cluster, keys)
     assert_that({answer["reason"] for _, answer in answers}, Equals({"home_changed"}))
     assert_that({status for status, _ in answers}, Equals({504}))
     entry = cluster.entry_by_vm["entry-0"]
-    assert_that(await take_in(cluster, entry, "kariakoo/new"), Equals("kariakoo/new-0"))
+    assert_that(
+        await submit_until_accepted(cluster, entry, "kariakoo/new"), Equals("kariakoo/new-0")
+    )
 
 
-async def test_submissions_held_up_by_a_pause_of_another_entry_than_their_home(cluster: Cluster):
-    # Guards against "not run" said of what runs, and "unknown" of what the home knows.
+async def test_submissions_delayed_by_a_pause_of_an_entry_that_is_not_their_home(cluster: Cluster):
+    # Guards against answering "not run" for a job that runs, and "unknown" for one whose state the
+    # home knows.
     await cluster.open(domains=ONE_DOMAIN)
     await cluster.outlast_clock_margin()
     keys = keys_at(cluster, home="entry-1", count=8)
@@ -211,7 +217,7 @@
     for key, (status, answer) in zip(keys, answers, strict=True):
         if status == 202:
             continue
-        assert_that((status, answer["outcome"], answer["reason"]), Equals(TOLD_NOT_RUN))
+        assert_that((status, answer["outcome"], answer["reason"]), Equals(NOT_RUN_ANSWER))
         assert_that(started, Not(Contains(key)))
     again = [make_submission(key=key) for key in keys]
     entry = cluster.entry_by_vm["entry-0"]
@@ -220,17 +226,17 @@
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
 
 
-TOLD_NOT_RUN = (503, "not_run", "no_worker")
+NOT_RUN_ANSWER = (503, "not_run", "no_worker")
 
 
 def keys_at(cluster: Cluster, *, home: str, count: int) -> list[str]:
-    """Return keys whose home is the entry named."""
+    """Return keys whose home is the given entry."""
     keys = (f"kariakoo/held-{number}" for number in itertools.count())
     return list(itertools.islice((k for k in keys if cluster.home_of(k).vm == home), count))
 
 
 async def submit_into_a_pause(cluster: Cluster, keys: list[str]) -> list[tuple[int, dict]]:
-    """Send new submissions to entry-0 while it stands still; it goes on once its seat is closed."""
+    """Send new submissions to entry-0 while it is paused; resume it once its seat is closed."""
     entry = cluster.entry_by_vm["entry-0"]
     jobs = [make_submission(key=key) for key in keys]
     entry.signal(signal.SIGSTOP)
@@ -241,17 +247,17 @@
 
 
 async def test_cancel_wave_leaves_nothing_behind(cluster: Cluster):
-    """Symptom: after a wave of cancels the queue stays long, or a caller hears an untruth.
+    """Cancelling many jobs at once leaves no queued tasks and gives correct outcomes.
 
-    Sequence: 100 jobs are sent without waiting, some start; all are cancelled at once.
-    Cause: a count or a list of what waits keeps cancelled tasks, or a job that was being
-    started while it was cancelled is told as one that didn't run.
+    100 jobs are submitted without waiting, some start, and all are cancelled at once. Guards
+    against cancelled tasks that stay in a queue or its length, and against a ``not_run`` answer
+    for a job that is cancelled while it is being started.
     """
     pools = {"braille": {"admission": "bounded"}}
     await cluster.open(domains=ONE_DOMAIN, pools=pools)
     entry = cluster.entry_by_vm["entry-0"]
-    names = [f"kariakoo/wave-{number}" for number in range(WAVE)]
-    keys = await asyncio.gather(*(take_in(cluster, entry, name) for name in names))
+    names = [f"kariakoo/wave-{number}" for number in range(CANCELLED_JOBS)]
+    keys = await asyncio.gather(*(submit_until_accepted(cluster, entry, name) for name in names))
     await cluster.wait_started(1)
 
     answers = await asyncio.gather(*(cancel(cluster, entry, key) for key in keys))
@@ -266,10 +272,10 @@
 
 
 async def test_cancelled_job_costs_a_worker_one_stop(cluster: Cluster):
-    """Symptom: a wave of cancels floods the workers with messages.
+    """Cancelling a job sends one stop call to each of its workers.
 
-    Sequence: a job fills all slots; it's cancelled five times at once.
-    Cause: a stop is sent for each task or for each cancel instead of one for all of them.
+    A job fills all slots and is cancelled five times at once. Guards against flooding the
+    workers with a stop call per task or per cancellation.
     """
     await cluster.open(domains={"kariakoo": (1, 2)})
     entry = cluster.entry_by_vm["entry-0"]
@@ -284,15 +290,15 @@
     assert_that(await stop_calls(cluster), Equals([1, 1]))
 
 
-# -- the owner dies while the log is down ----------------------------------------------
+# -- owner failure during a log outage -------------------------------------------------
 
 
 async def test_owner_killed_while_the_log_is_down(cluster: Cluster):
-    """Symptom: a page is embossed twice after two things failed at once.
+    """A double failure of owner and log does not start a task twice.
 
-    Sequence: the log goes down; a job starts; its owner is killed; the caller sends it again
-    to the other entry, then once more when the log is back. Cause: the home forgets what it
-    granted, or takes a seat that it can't close for one that has nothing running.
+    The log service goes down, a job starts, and its owner is killed. The caller resubmits the job
+    to the other entry, and once more after the log is back. Guards against a home that loses its
+    grants, or that assumes that a seat which it can't close has nothing running.
     """
     await cluster.open(domains={"kariakoo": (2, 2)})
     await cluster.outlast_clock_margin()
@@ -307,8 +313,8 @@
     _, meanwhile = await cluster.submit(other, {**submission, "attempt": 2})
     await cluster.control(cluster.log, down=False)
     await cluster.wait_settled()
-    finally_told = await cluster.resend(other, submission)
+    final = await cluster.resend(other, submission)
 
     assert_that(meanwhile["outcome"], MatchesAny(Equals("not_run"), Equals("outcome_unknown")))
-    assert_that(finally_told["outcome"], Equals("outcome_unknown"))
+    assert_that(final["outcome"], Equals("outcome_unknown"))
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
--- a/tests/test_loops.py
+++ b/tests/test_loops.py
@@ -1,4 +1,4 @@
-"""The event loop closes no descriptor that is not its own."""
+"""The event loop closes only file descriptors that it owns."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def connect() -> socket.socket:
-    """Return a socket that is connected to a server in this process."""
+    """Return a socket connected to a server in this process."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
     sock = socket.socket()
@@ -24,11 +24,10 @@
 
 @pytest.mark.parametrize("turns", [0, 1, 2])
 def test_a_socket_is_closed_once_when_its_transport_is_cancelled(turns: int):
-    # Symptom: a process aborts, or its connections fail with "bad file descriptor", after calls
-    # that timed out. Sequence: a client gives a connected socket to the loop; the call times out
-    # while the transport is opened; the loop closes the descriptor and the client the socket; in
-    # between the number has gone to another connection.
-    # Cause: loop and client both own the descriptor.
+    # Guards against a descriptor with two owners. A client passes a connected socket to the loop,
+    # and the call times out while the transport is being opened. If both the loop and the client
+    # close the descriptor, its number may belong to another connection by then: the process
+    # aborts, or its connections fail with "bad file descriptor".
     async def cancel_and_close() -> int:
         sock = await connect()
         loop = asyncio.get_running_loop()
@@ -37,7 +36,7 @@
             await asyncio.sleep(0)
         opening.cancel()
         await asyncio.gather(opening, return_exceptions=True)
-        sock.close()  # Raises if the loop has closed the descriptor.
+        sock.close()  # Raises OSError if the loop has closed the descriptor.
         return sock.fileno()
 
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: read locally, and sent by OTLP."""
+"""Metrics: local snapshots and OTLP export."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Collector(http.server.HTTPServer):
-    """Takes what is posted and keeps its length by path."""
+    """OTLP collector that records the length of the last body by path."""
 
     def __init__(self) -> None:
         super().__init__(("127.0.0.1", 0), _Handler)
@@ -35,7 +35,7 @@
         self.end_headers()
 
     def log_message(self, *_: object) -> None:
-        """Keep quiet."""
+        """Log nothing."""
 
 
 @pytest.fixture
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes, with a golden file of the session."""
+"""End-to-end sessions through separate processes, compared with golden files."""
 
 from __future__ import annotations
 
