--- a/bench/_slopes_claims.py
+++ b/bench/_slopes_claims.py
@@ -184,7 +184,7 @@
     """Return the processor time of decoding an answer and learning its keys, in µs."""
     home = make_home()
     before = time.process_time()
-    home.take_over(msgspec.json.decode(raw, type=HandoverReply))
+    home.merge_handover(msgspec.json.decode(raw, type=HandoverReply))
     return (time.process_time() - before) * 1e6
 
 
@@ -205,5 +205,5 @@
         clock=clock,
         timing=timing,
         domains=lambda: [ASKER.domain],
-        owned_here=lambda _: None,
+        find_owned=lambda _: None,
     )
--- a/bench/_slopes_cluster.py
+++ b/bench/_slopes_cluster.py
@@ -82,7 +82,7 @@
         relay = CountedRelay()
         await relay.open()
         if target is not None:
-            relay.aim(target)
+            relay.set_target(target)
         self.relays.append(relay)
         return relay
 
--- a/bench/_slopes_memory.py
+++ b/bench/_slopes_memory.py
@@ -17,7 +17,7 @@
 from bench._slopes_config import make_configuration
 from bench._slopes_figures import Sample
 from zincwell.adapters import HttpWorkerTransport, SystemClock
-from zincwell.core._jobs import Job, JobBook, TaskState, make_answer
+from zincwell.core._jobs import Job, OwnedJobs, TaskState, make_answer
 from zincwell.core._membership import Membership
 from zincwell.core._messages import ClaimBatch, Load, OwnedKey
 from zincwell.core._worker import Worker
@@ -46,8 +46,8 @@
     job_and_tasks = _grown(lambda: [_make_job(TASKS) for _ in range(10)]) / 10
     job_alone = _grown(lambda: [_make_job(1) for _ in range(2_000)]) / 2_000
     per_task = (job_and_tasks - job_alone) / (TASKS - 1)
-    kept_large = _grown(lambda: make_book(10, TASKS)) / 10
-    kept_small = _grown(lambda: make_book(2_000, 1)) / 2_000
+    kept_large = _grown(lambda: make_owned_jobs(10, TASKS)) / 10
+    kept_small = _grown(lambda: make_owned_jobs(2_000, 1)) / 2_000
     per_kept_task = (kept_large - kept_small) / (TASKS - 1)
     values = {
         "queued job without its tasks": job_alone - per_task,
@@ -125,18 +125,18 @@
     return job
 
 
-def make_book(jobs: int, tasks: int) -> JobBook:
-    """Make a book of finished jobs."""
-    book = JobBook(clock=SystemClock(), timing=TimingSettings(), memory=MemorySettings())
+def make_owned_jobs(jobs: int, tasks: int) -> OwnedJobs:
+    """Make a store of finished jobs."""
+    owned_jobs = OwnedJobs(clock=SystemClock(), timing=TimingSettings(), memory=MemorySettings())
     for _ in range(jobs):
         job = _make_job(tasks)
-        book.add(job, serial=1)
+        owned_jobs.add(job, serial=1)
         for task in job.tasks:
             task.state, task.outcome = TaskState.FINAL, Outcome.COMPLETED
             task.output = msgspec.Raw(bytes(bytearray(OUTPUT)))
         job.answer.set_result(make_answer(job))
-        book.keep(job)
-    return book
+        owned_jobs.cache_answer(job)
+    return owned_jobs
 
 
 def _make_keys(keys: int) -> dict[str, OwnedKey]:
--- a/bench/_slopes_operators.py
+++ b/bench/_slopes_operators.py
@@ -10,7 +10,7 @@
 from bench._slopes_cluster import CountedCluster, cpu_s, open_cluster
 from bench._slopes_config import make_document
 from bench._slopes_figures import Sample
-from bench._slopes_memory import TENANTS, URGENCIES, make_book, make_metrics
+from bench._slopes_memory import TENANTS, URGENCIES, make_metrics, make_owned_jobs
 from bench._slopes_tasks import idle_cpu_share
 from tests.cluster import EntryProcess
 from zincwell.metrics import HISTOGRAMS, Metrics
@@ -58,15 +58,15 @@
     home = make_home()
     for claim in make_claims(KEYS):
         home._grant(home._keeper.seat, claim, serial=1)
-    book = make_book(JOBS, 1)
+    owned_jobs = make_owned_jobs(JOBS, 1)
     metrics = make_metrics()
     count = TENANTS * len(URGENCIES) * len(HISTOGRAMS)
     before = time.process_time()
     shown = msgspec.json.encode(await metrics.snapshot())
     shown_us = (time.process_time() - before) * 1e6
     return [
-        _timed("cpu per key to look for old ones", home.forget_old, KEYS),
-        _timed("cpu per kept job to look for old ones", book.forget_old, JOBS),
+        _timed("cpu per key to look for old ones", home.expire_old, KEYS),
+        _timed("cpu per kept job to look for old ones", owned_jobs.expire_old, JOBS),
         _timed("cpu per duration noted", lambda: _observe(metrics), RECORDS),
         Sample(name="cpu per histogram shown", value=shown_us / count, unit="us"),
         Sample(name="bytes per histogram shown", value=len(shown) / count, unit="bytes"),
--- a/bench/_slopes_worker.py
+++ b/bench/_slopes_worker.py
@@ -30,8 +30,8 @@
         self._count("lease")
         return reply(WorkerLease(lease=LEASE, ttl_s=call.ttl_s, slots=self.slots))
 
-    def _reason_to_refuse(self, task_id: str, lease: str) -> str:
-        reason = super()._reason_to_refuse(task_id, lease)
+    def _refusal_reason(self, task_id: str, lease: str) -> str:
+        reason = super()._refusal_reason(task_id, lease)
         return "" if reason == "full" else reason
 
 
--- a/bench/driver.py
+++ b/bench/driver.py
@@ -19,7 +19,7 @@
 from bench.scenarios import Scenario
 from bench.workload import Arrival, make_arrivals
 from tests.cluster import Cluster, Process
-from zincwell.client import _has_not_run
+from zincwell.client import _confirms_not_run
 from zincwell.models import Answer, Outcome, decode_answer
 
 #: Hops between caller, entry and worker on loopback, as part of the ideal response time.
@@ -169,10 +169,10 @@
             attempt += 1
             submission["attempt"], submission["never_run"] = attempt, never_run
             submission["sent_at"] = time.time()
-            left_s = due_at + DEADLINE_S - time.monotonic()
-            submission["deadline_ms"] = max(1, round(left_s * 1000))
-            answer = await self._post(self._urls[vm], submission, left_s)
-            never_run &= _has_not_run(answer)
+            remaining_s = due_at + DEADLINE_S - time.monotonic()
+            submission["deadline_ms"] = max(1, round(remaining_s * 1000))
+            answer = await self._post(self._urls[vm], submission, remaining_s)
+            never_run &= _confirms_not_run(answer)
             pause_s = self._pause_s(sent, answer)
             if pause_s is None or time.monotonic() + pause_s > due_at + DEADLINE_S:
                 sent.answer = answer
@@ -190,8 +190,8 @@
         sent.refused += 1
         return answer.retry_after_ms / 1000 * self._random.uniform(1.0, 1.5)
 
-    async def _post(self, url: str, submission: dict, left_s: float) -> Answer | None:
-        timeout = aiohttp.ClientTimeout(total=max(left_s, 0.1), sock_connect=1.0)
+    async def _post(self, url: str, submission: dict, remaining_s: float) -> Answer | None:
+        timeout = aiohttp.ClientTimeout(total=max(remaining_s, 0.1), sock_connect=1.0)
         body = msgspec.json.encode(submission)
         try:
             async with self._cluster.session.post(
--- a/proofs/mutations.py
+++ b/proofs/mutations.py
@@ -115,7 +115,7 @@
     _ownership(
         "closed-grant-taken",
         "core/_submissions.py",
-        "if reply.serial <= self._book.closed_serial(key):",
+        "if reply.serial <= self._owned_jobs.closed_serial(key):",
         "if False:",
     ),
 ]
@@ -172,7 +172,7 @@
     _worker(
         "no-hold-no-ejection",
         "core/_dispatch.py",
-        "            worker.hold_slot(remaining_s - self._clock.monotonic())\n"
+        "            worker.hold_slot(expected_end_at - self._clock.monotonic())\n"
         "            if pool.eject_if_outlier(worker):\n",
         "            if False:\n",
         "test_worker_that_fails_every_task_does_not_get_the_whole_queue",
@@ -236,14 +236,14 @@
     _mutation(
         "drain-without-waiting-for-jobs",
         "entry.py",
-        "        await self.book.wait_answered()\n",
+        "        await self.owned_jobs.wait_answered()\n",
         "",
         "tests/test_take_over.py::test_drain_waits_for_jobs_that_no_caller_of_its_own_waits_for",
     ),
     _mutation(
         "drain-at-once",
         "entry.py",
-        "        await self.callers.close()\n        await self.book.wait_answered()\n",
+        "        await self.callers.close()\n        await self.owned_jobs.wait_answered()\n",
         "",
         "tests/test_daemon.py::test_sigterm_under_load_cuts_nothing",
     ),
@@ -280,7 +280,7 @@
     _mutation(
         "spill-off",
         "core/_spill.py",
-        "        if not pool.wants_to_spill():\n            return\n",
+        "        if not pool.should_spill():\n            return\n",
         "        return\n",
         "tests/test_spill.py::test_burst_in_one_domain_uses_idle_slots_of_another",
     ),
@@ -380,7 +380,7 @@
         edits=(
             _edit(
                 "core/_dispatch.py",
-                "            worker.hold_slot(remaining_s - self._clock.monotonic())\n"
+                "            worker.hold_slot(expected_end_at - self._clock.monotonic())\n"
                 "            if pool.eject_if_outlier(worker):\n",
                 "            if False:\n",
             ),
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -183,7 +183,7 @@
         path = self.folder / f"{vm}-{number}.toml"
         path.write_text(tomli_w.dumps(self._entry_settings(vm, domain, address, relay)))
         started = await self._start(vm, "-m", self.entry_module, "entry", str(path))
-        relay.aim(started.fields["peers"])
+        relay.set_target(started.fields["peers"])
         entry = EntryProcess(**vars(started), vm=vm, domain=domain, address=address, relay=relay)
         self.entry_by_vm[vm] = entry
         row = {"vm": vm, "role": "entry", "domain": domain, "url": relay.url}
@@ -211,7 +211,7 @@
         relay = Relay()
         await relay.open()
         if target is not None:
-            relay.aim(target)
+            relay.set_target(target)
         self.relays.append(relay)
         return relay
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 from tests.browser import Browser
 from tests.cluster import Cluster
 from tests.dispatch_world import World
-from tests.lone import TOKEN, LoneEntry, open_lone_entry
+from tests.lone import TOKEN, SingleEntry, open_single_entry
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
@@ -49,16 +49,16 @@
 
 
 @pytest.fixture
-async def lone(tmp_path: Path) -> AsyncIterator[LoneEntry]:
+async def lone(tmp_path: Path) -> AsyncIterator[SingleEntry]:
     """A single entry in the test process; operators authenticate with ``TOKEN``."""
     path = tmp_path / "token.txt"
     path.write_text(TOKEN)
-    async with open_lone_entry(operator_token_file=str(path)) as lone:
+    async with open_single_entry(operator_token_file=str(path)) as lone:
         yield lone
 
 
 @pytest.fixture
-async def anonymous_browser(lone: LoneEntry) -> AsyncIterator[Browser]:
+async def anonymous_browser(lone: SingleEntry) -> AsyncIterator[Browser]:
     """A browser that is not signed in."""
     jar = aiohttp.CookieJar(unsafe=True)
     async with aiohttp.ClientSession(cookie_jar=jar) as session:
--- a/tests/lone.py
+++ b/tests/lone.py
@@ -23,7 +23,7 @@
 }
 
 
-class LoneEntry:
+class SingleEntry:
     """An entry and its log service."""
 
     def __init__(self, *, entry: Entry, log: StandinLog):
@@ -50,7 +50,7 @@
 
 
 @contextlib.asynccontextmanager
-async def open_lone_entry(**settings: Any) -> AsyncIterator[LoneEntry]:
+async def open_single_entry(**settings: Any) -> AsyncIterator[SingleEntry]:
     """Run an entry with ``DOCUMENT`` as version 0 of its configuration."""
     log, directory = StandinLog(), StandinDirectory()
     await log.open()
@@ -65,7 +65,7 @@
         )
     )
     await entry.open()
-    lone = LoneEntry(entry=entry, log=log)
+    lone = SingleEntry(entry=entry, log=log)
     try:
         await lone.publish(DOCUMENT, change_id="first")
         yield lone
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -18,7 +18,7 @@
 from zincwell.core._admission import Refusal
 from zincwell.core._follow import NEVER
 from zincwell.core._home import Home
-from zincwell.core._jobs import Job, JobBook
+from zincwell.core._jobs import Job, OwnedJobs
 from zincwell.core._membership import Membership, Seat
 from zincwell.core._messages import HandoverCall, HandoverReply
 from zincwell.core._ownership import Ownership
@@ -264,7 +264,7 @@
             clock=clock,
             timing=TIMING,
             domains=self._domains,
-            owned_here=lambda key: self.submissions.owned_key(key),
+            find_owned=lambda key: self.submissions.owned_key(key),
         )
         self.submissions = self._make_submissions(clock, on_start)
 
@@ -283,7 +283,7 @@
             membership=self.membership,
             ownership=ownership,
             peers=self.peers,
-            book=JobBook(clock=clock, timing=TIMING, memory=MemorySettings()),
+            owned_jobs=OwnedJobs(clock=clock, timing=TIMING, memory=MemorySettings()),
             dispatcher=RecordingDispatcher(node=self, on_start=on_start),
             admission=OneClassAdmission(),
             clock=clock,
@@ -307,7 +307,7 @@
 
     def recover(self, loop: ManualLoop) -> None:
         """Ask for the pending handovers, with one call at a time to each seat."""
-        for seat in self.home.awaited():
+        for seat in self.home.seats_pending_handover():
             asking = self.recovering_by_seat.get(seat.id)
             if asking is None or asking.done():
                 self.recovering_by_seat[seat.id] = loop.create_task(self._recover_from(seat))
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -29,7 +29,7 @@
         self.url = f"http://{host}:{port}"
         return self.url
 
-    def aim(self, url: str) -> None:
+    def set_target(self, url: str) -> None:
         """Set the target by its base URL."""
         host, _, port = url.partition("://")[2].partition(":")
         self.target = (host, int(port))
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -23,12 +23,12 @@
     }
 
 
-def key_at(cluster: Cluster, *, domain: str, home: str) -> str:
+def find_key_with_home(cluster: Cluster, *, domain: str, home: str) -> str:
     """Return a key with a given domain and home entry."""
     keys = (f"{domain}/page-{number}" for number in range(1_000))
     return next(key for key in keys if cluster.home_of(key).vm == home)
 
 
-def echoes(answer: dict[str, Any]) -> list[Any]:
+def list_outputs(answer: dict[str, Any]) -> list[Any]:
     """Return the outputs of an answer in the order of its tasks."""
     return [task.get("output") for task in answer["tasks"]]
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -11,7 +11,7 @@
 
 import zincwell
 from tests.cluster import Cluster
-from tests.samples import echoes, make_submission
+from tests.samples import list_outputs, make_submission
 from tests.test_ownership import AT_MOST_ONCE
 from zincwell.exceptions import BadRequestError
 from zincwell.models import decode_request, decode_submission
@@ -128,7 +128,7 @@
     unknown = await cluster.get(base + "nothing")
 
     assert_that([status for status, _ in accepted], Equals([202, 202]))
-    assert_that(echoes(polled), Equals(list(range(8))))
+    assert_that(list_outputs(polled), Equals(list(range(8))))
     assert_that(running["reason"], Equals("running"))
     assert_that(cancelled["reason"], Equals("cancelled"))
     assert_that(cancelled["outcome"] in ("failed", "outcome_unknown"), Equals(True))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,7 +18,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, ContainsAll, Equals, Not
 
-from tests.lone import DOCUMENT, TOKEN, LoneEntry, open_lone_entry
+from tests.lone import DOCUMENT, TOKEN, SingleEntry, open_single_entry
 
 OK, FAILED, USAGE, CONFLICT, OUTCOME_UNKNOWN = 0, 1, 2, 3, 4
 
@@ -57,8 +57,8 @@
 
 
 @pytest.fixture
-async def lone(token_file: Path) -> AsyncIterator[LoneEntry]:
-    async with open_lone_entry(operator_token_file=str(token_file)) as lone:
+async def lone(token_file: Path) -> AsyncIterator[SingleEntry]:
+    async with open_single_entry(operator_token_file=str(token_file)) as lone:
         yield lone
 
 
@@ -75,7 +75,7 @@
     return path
 
 
-def publish(lone: LoneEntry, token_file: Path, document: Path, *, base: int, **flags: object):
+def publish(lone: SingleEntry, token_file: Path, document: Path, *, base: int, **flags: object):
     words = [f"--{name}={value}" for name, value in flags.items()]
     target = [f"--entry={lone.url}", f"--base={base}", f"--token-file={token_file}"]
     return run("config", "publish", document, *target, *words)
@@ -101,7 +101,7 @@
         assert_that((await run(*words)).code, Equals(USAGE))
 
 
-async def test_command_with_a_mistyped_flag_does_nothing(lone: LoneEntry, token_file: Path):
+async def test_command_with_a_mistyped_flag_does_nothing(lone: SingleEntry, token_file: Path):
     """A command with unknown arguments is refused without being run.
 
     Guards against `drain` with a mistyped flag draining the entry although it exits with a usage
@@ -112,7 +112,7 @@
         refused = await run("drain", lone.url, *words)
         assert_that((refused.code, refused.out), Equals((USAGE, "")))
 
-    assert_that(lone.entry.drain_asked.is_set(), Equals(False))
+    assert_that(lone.entry.drain_requested.is_set(), Equals(False))
 
 
 async def test_validate(tmp_path: Path, document: Path):
@@ -166,7 +166,7 @@
     assert_that(refused.err, Contains(str(secret)))
 
 
-async def test_show_then_diff(lone: LoneEntry, token_file: Path, document: Path):
+async def test_show_then_diff(lone: SingleEntry, token_file: Path, document: Path):
     target = [f"--entry={lone.url}", f"--token-file={token_file}"]
 
     shown = await run("config", "show", *target)
@@ -178,7 +178,7 @@
     assert_that(patch, Equals({"tenants": {"school": {"weight": 3.0}}}))
 
 
-async def test_publish(lone: LoneEntry, token_file: Path, document: Path):
+async def test_publish(lone: SingleEntry, token_file: Path, document: Path):
     done = await publish(lone, token_file, document, base=0, note="more for the school")
 
     verdict = lone.entry.configuration.changes_since(0)[0]
@@ -187,7 +187,7 @@
     assert_that(lone.entry.configuration.value["tenants"]["school"]["weight"], Equals(3.0))
 
 
-async def test_publish_loses_a_race(lone: LoneEntry, token_file: Path, document: Path):
+async def test_publish_loses_a_race(lone: SingleEntry, token_file: Path, document: Path):
     """A conflicting change is rejected with an exit code of its own and shows the earlier change.
 
     Guards against lost updates: two operators start from the same version, and the second one to
@@ -202,7 +202,7 @@
     assert_that(lone.entry.configuration.version, Equals(1))
 
 
-async def test_publish_repeated_with_its_id(lone: LoneEntry, token_file: Path, document: Path):
+async def test_publish_repeated_with_its_id(lone: SingleEntry, token_file: Path, document: Path):
     """A change that is published twice with the same id takes effect once.
 
     Guards against a retry that reverts later changes: the answer to the first attempt is lost,
@@ -217,14 +217,14 @@
 
 
 async def test_publish_while_the_log_is_down(
-    lone: LoneEntry, token_file: Path, document: Path, monkeypatch: pytest.MonkeyPatch
+    lone: SingleEntry, token_file: Path, document: Path, monkeypatch: pytest.MonkeyPatch
 ):
     """A change whose outcome is unknown is reported as such, with the id to repeat it.
 
     The log service does not answer an append that may have taken effect. If this were reported
     as a failure, the operator would conclude that the change is not in force.
     """
-    monkeypatch.setattr("zincwell.core._publishing.VERDICT_WAIT_S", 0.2)
+    monkeypatch.setattr("zincwell.core._publishing.VERDICT_TIMEOUT_S", 0.2)
     monkeypatch.setattr("zincwell.adapters._platform.CALL_TIMEOUT_S", 0.5)
     lone.log.down = True
     unknown = await publish(lone, token_file, document, base=0, id="monday")
@@ -236,7 +236,7 @@
     assert_that(unknown.err + unknown.out, ContainsAll(["log_unavailable", "--id=monday"]))
 
 
-async def test_invalid_document_is_not_sent(lone: LoneEntry, token_file: Path, document: Path):
+async def test_invalid_document_is_not_sent(lone: SingleEntry, token_file: Path, document: Path):
     document.write_text(document.read_text().replace("braille", "nowhere", 1))
 
     refused = await publish(lone, token_file, document, base=0)
@@ -254,7 +254,7 @@
     assert_that(nonsense.err, Contains("nonsense"))
 
 
-async def test_status_of_several_entries(lone: LoneEntry, token_file: Path):
+async def test_status_of_several_entries(lone: SingleEntry, token_file: Path):
     shown = await run("status", lone.url, "http://127.0.0.1:1", f"--token-file={token_file}")
 
     status = json.loads(shown.out)
@@ -263,14 +263,16 @@
     assert_that(shown.err, Contains("http://127.0.0.1:1"))
 
 
-async def test_metrics(lone: LoneEntry, token_file: Path):
+async def test_metrics(lone: SingleEntry, token_file: Path):
     shown = await run("metrics", lone.url, f"--token-file={token_file}")
 
     assert_that(sorted(json.loads(shown.out)), Equals(["counters", "histograms"]))
 
 
 @pytest.mark.parametrize("given", ["", "wrong"])
-async def test_wrong_or_missing_token(lone: LoneEntry, tmp_path: Path, document: Path, given: str):
+async def test_wrong_or_missing_token(
+    lone: SingleEntry, tmp_path: Path, document: Path, given: str
+):
     """Every command reports a wrong token and has no effect.
 
     Guards against a client that decodes the body without checking the status: with a missing or
@@ -294,18 +296,18 @@
         refused = await run(*words)
         assert_that((refused.code, refused.out), Equals((FAILED, "")))
         assert_that(refused.err, Contains("401 wrong_token"))
-    assert_that(lone.entry.drain_asked.is_set(), Equals(False))
+    assert_that(lone.entry.drain_requested.is_set(), Equals(False))
     assert_that(lone.entry.configuration.version, Equals(0))
 
 
-async def test_drain(lone: LoneEntry, token_file: Path):
+async def test_drain(lone: SingleEntry, token_file: Path):
     shown = await run("drain", lone.url, f"--token-file={token_file}")
 
     assert_that((shown.code, shown.out), Equals((OK, "draining\n")))
-    assert_that(lone.entry.drain_asked.is_set(), Equals(True))
+    assert_that(lone.entry.drain_requested.is_set(), Equals(True))
 
 
-async def test_health_needs_no_token_and_distinguishes_live_ready_and_draining(lone: LoneEntry):
+async def test_health_needs_no_token_and_distinguishes_live_ready_and_draining(lone: SingleEntry):
     async with aiohttp.ClientSession() as session:
         found = [await get(session, lone.url + path) for path in ("/live", "/ready")]
         lone.entry.is_draining = True
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -17,14 +17,14 @@
 )
 
 from tests.browser import Browser
-from tests.lone import DOCUMENT, LoneEntry
+from tests.lone import DOCUMENT, SingleEntry
 
 WEIGHT = "field/tenants/school/weight"
 TARGET = "field/pools/braille/queue_target_ms"
 SCRIPT = "<script>alert(1)</script>"
 
 
-async def test_edit_review_publish(lone: LoneEntry, browser: Browser):
+async def test_edit_review_publish(lone: SingleEntry, browser: Browser):
     shown = await browser.open_section("tenants")
     review = await browser.review(shown, **{WEIGHT: "4.5"})
     done = await browser.post("publish", review.fields("publish"), note="exam week")
@@ -53,7 +53,7 @@
     assert_that(urgencies.text, ContainsAll(["max_run_ms", "max_queue_ms", "weight"]))
 
 
-async def test_draft_goes_through_all_sections(lone: LoneEntry, browser: Browser):
+async def test_draft_goes_through_all_sections(lone: SingleEntry, browser: Browser):
     """Values typed in several sections stay in the draft and are published as one change."""
     page = await browser.open_section("pools")
     page = await browser.post(
@@ -90,7 +90,7 @@
     assert_that(lone.entry.configuration.value, Equals(expected))
 
 
-async def test_blank_field_takes_the_default(lone: LoneEntry, browser: Browser):
+async def test_blank_field_takes_the_default(lone: SingleEntry, browser: Browser):
     review = await browser.review(await browser.open_section("pools"), **{TARGET: ""})
     await browser.post("publish", review.fields("publish"))
 
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("typed", ["soon", "-1", "0", "1.5", "9" * 400, "1e400", SCRIPT, '"'])
 async def test_error_is_shown_at_its_field_and_typed_text_is_kept(
-    lone: LoneEntry, browser: Browser, typed: str
+    lone: SingleEntry, browser: Browser, typed: str
 ):
     """An invalid value is kept as typed, also while other sections are shown.
 
@@ -154,7 +154,7 @@
     assert_that(refused.text, Not(Contains(SCRIPT)))
 
 
-async def test_lost_race_and_rebase(lone: LoneEntry, browser: Browser):
+async def test_lost_race_and_rebase(lone: SingleEntry, browser: Browser):
     """A rejected draft shows the changes published after its base and can be rebased.
 
     Failure: the operator's draft is lost, or silently overwrites a colleague's change. Both start
@@ -186,7 +186,7 @@
     Failure: a published change is undone. The load balancer sends a draft to an entry that has
     not read the draft's base yet, and the entry takes any different version for a newer one.
     """
-    monkeypatch.setattr("zincwell.core._publishing.VERDICT_WAIT_S", 0.1)
+    monkeypatch.setattr("zincwell.core._publishing.VERDICT_TIMEOUT_S", 0.1)
     fields = (await browser.open_section("tenants")).fields("edit")
     fields["draft"] = fields["draft"].replace('"base":0', '"base":7')
 
@@ -201,7 +201,7 @@
     assert_that(refused.fields("publish")["note"], Equals("exam week"))
 
 
-async def test_race_seen_at_the_review(lone: LoneEntry, browser: Browser):
+async def test_race_seen_at_the_review(lone: SingleEntry, browser: Browser):
     shown = await browser.open_section("tenants")
     await lone.publish({"tenants": {"radio": {}}}, change_id="theirs")
 
@@ -211,7 +211,7 @@
     assert_that(review.fields_by_action, ContainsAll(["/console/rebase", "/console/edit"]))
 
 
-async def test_rebase_shows_conflicting_changes(lone: LoneEntry, browser: Browser):
+async def test_rebase_shows_conflicting_changes(lone: SingleEntry, browser: Browser):
     review = await browser.review(await browser.open_section("tenants"), **{WEIGHT: "4.5"})
     await lone.publish({"tenants": {"school": {"weight": 9.0}}}, change_id="theirs")
 
@@ -222,7 +222,7 @@
     assert_that(rebased.text, ContainsAll(told))
 
 
-async def test_rebase_onto_a_removal_shows_the_fault(lone: LoneEntry, browser: Browser):
+async def test_rebase_onto_a_removal_shows_the_fault(lone: SingleEntry, browser: Browser):
     """A changed field of a service that others removed is shown as a fault, not published.
 
     Failure: a service with missing fields is published. One operator edits a field of a service,
@@ -243,7 +243,7 @@
 
 
 async def test_log_outage_keeps_the_draft_and_publishing_again_counts_once(
-    lone: LoneEntry, browser: Browser, monkeypatch: pytest.MonkeyPatch
+    lone: SingleEntry, browser: Browser, monkeypatch: pytest.MonkeyPatch
 ):
     """Publishing a draft again after an unknown verdict is the same change.
 
@@ -251,7 +251,7 @@
     change but does not answer, another operator changes the same field, and the form is sent
     again as a change with a new id.
     """
-    monkeypatch.setattr("zincwell.core._publishing.VERDICT_WAIT_S", 0.2)
+    monkeypatch.setattr("zincwell.core._publishing.VERDICT_TIMEOUT_S", 0.2)
     monkeypatch.setattr("zincwell.adapters._platform.CALL_TIMEOUT_S", 0.5)
     review = await browser.review(await browser.open_section("tenants"), **{WEIGHT: "4.5"})
     lone.log.down = True
--- a/tests/test_console_access.py
+++ b/tests/test_console_access.py
@@ -16,7 +16,7 @@
 )
 
 from tests.browser import Browser
-from tests.lone import TOKEN, LoneEntry, open_lone_entry
+from tests.lone import TOKEN, SingleEntry, open_single_entry
 from zincwell.listeners._sessions import LIFETIME_S, Sessions
 from zincwell.ports import Clock
 
@@ -25,7 +25,7 @@
 
 
 async def test_without_a_session_each_page_leads_to_the_sign_in(
-    lone: LoneEntry, anonymous_browser: Browser
+    lone: SingleEntry, anonymous_browser: Browser
 ):
     pages = [await anonymous_browser.get(path) for path in ("/console", "/console/edit")]
     pages += [
@@ -52,7 +52,7 @@
     assert_that(after.url, Equals("/console/sign-in"))
 
 
-async def test_form_without_its_token_is_refused(lone: LoneEntry, browser: Browser):
+async def test_form_without_its_token_is_refused(lone: SingleEntry, browser: Browser):
     """A form without the CSRF token of the session changes nothing.
 
     Failure: a change is published that the operator does not know of. A signed-in operator opens
@@ -80,11 +80,11 @@
 
 
 async def test_session_of_one_entry_is_good_at_another(
-    lone: LoneEntry, browser: Browser, tmp_path: Path
+    lone: SingleEntry, browser: Browser, tmp_path: Path
 ):
     """The load balancer may send each request to another entry; entries store no sessions."""
     shown = await browser.open_section("tenants")
-    async with open_lone_entry(operator_token_file=str(tmp_path / "token.txt")) as other:
+    async with open_single_entry(operator_token_file=str(tmp_path / "token.txt")) as other:
         elsewhere = Browser(url=other.url, session=browser.session)
         review = await elsewhere.review(shown, **{WEIGHT: "4.5"})
         done = await elsewhere.post("publish", review.fields("publish"))
@@ -93,15 +93,15 @@
         assert_that(other.entry.configuration.version, Equals(1))
 
 
-async def test_session_does_not_open_the_calls_of_programs(lone: LoneEntry, browser: Browser):
+async def test_session_does_not_open_the_calls_of_programs(lone: SingleEntry, browser: Browser):
     async with browser.session.get(lone.url + "/status") as response:
         assert_that(response.status, Equals(401))
     async with browser.session.post(lone.url + "/v1/drain") as response:
         assert_that(response.status, Equals(401))
-    assert_that(lone.entry.drain_asked.is_set(), Equals(False))
+    assert_that(lone.entry.drain_requested.is_set(), Equals(False))
 
 
-async def test_headers_and_cookie(lone: LoneEntry, browser: Browser):
+async def test_headers_and_cookie(lone: SingleEntry, browser: Browser):
     pages = [await browser.get(f"/console{path}") for path in ("", "/edit", "/sign-in")]
     pages.append(await browser.post("publish", {}))
     pages.append(await browser.get("/console/style.css"))
@@ -117,7 +117,7 @@
     assert_that(cookie + "".join(page.text for page in pages), Not(Contains(TOKEN)))
 
 
-async def test_text_of_others_is_escaped(lone: LoneEntry, browser: Browser):
+async def test_text_of_others_is_escaped(lone: SingleEntry, browser: Browser):
     await lone.log._store(
         "config",
         {"kind": "change", "id": "x", "base": 0, "patch": {}, "by": SCRIPT, "note": SCRIPT},
@@ -136,7 +136,7 @@
     browser posts to the loopback address, or uses DNS rebinding to reach it, and the listener
     trusts every local connection.
     """
-    async with open_lone_entry() as lone, aiohttp.ClientSession() as session:
+    async with open_single_entry() as lone, aiohttp.ClientSession() as session:
         port = lone.url.rpartition(":")[2]
         for headers in (
             {"Origin": "http://evil.example"},
@@ -153,7 +153,7 @@
             allow_redirects=False,
         ) as response:
             assert_that(response.headers["Location"], Equals("/console"))
-        assert_that(lone.entry.drain_asked.is_set(), Equals(False))
+        assert_that(lone.entry.drain_requested.is_set(), Equals(False))
 
 
 class FixedClock(Clock):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -11,7 +11,7 @@
 from testtools.matchers import Contains, Equals, Not
 
 from tests.cluster import Cluster, EntryProcess
-from tests.samples import echoes, make_submission
+from tests.samples import list_outputs, make_submission
 from tests.test_ownership import AT_MOST_ONCE
 
 ONE_DOMAIN = {"kariakoo": (2, 2)}
@@ -65,7 +65,7 @@
 
     assert_that(code, Equals(0))
     for status, answer in answers:
-        assert_that((status, echoes(answer)), Equals((200, list(range(12)))))
+        assert_that((status, list_outputs(answer)), Equals((200, list(range(12)))))
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
 
 
--- a/tests/test_decisions_admission.py
+++ b/tests/test_decisions_admission.py
@@ -25,7 +25,7 @@
 from zincwell.core._messages import Load
 from zincwell.core._ordering import make_queue
 from zincwell.core._pool import Pool
-from zincwell.core._quotas import Neighbours, Quotas
+from zincwell.core._quotas import QuotaPeers, Quotas
 from zincwell.core._runtimes import RunTimes
 from zincwell.document import Document, Ordering, parse_document
 from zincwell.document import Pool as PoolRules
@@ -95,7 +95,7 @@
         quotas=None,
         clock=clock,
         seed="",
-        on_starved=lambda: None,
+        on_backlog=lambda: None,
     )
     for number in range(workers):
         pool.worker_by_name[f"w{number}"] = SimpleNamespace(
@@ -247,8 +247,8 @@
 
 
 def open_quotas(limit: int, *, domains: int = 1, peers: int = 0, loads: list[Load] = ()) -> Quotas:
-    near = Neighbours(domains=domains, peers=peers, loads=list(loads))
-    return Quotas(limit=lambda _: limit, neighbours=lambda: near)
+    near = QuotaPeers(domains=domains, peers=peers, loads=list(loads))
+    return Quotas(limit=lambda _: limit, quota_peers=lambda: near)
 
 
 def start_all(quotas: Quotas, *, tenant: str = "school", most: int = 1_000) -> int:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -11,8 +11,8 @@
 from tests.test_ownership_property import ManualClock
 from zincwell.core._dispatch import Dispatcher
 from zincwell.core._jobs import Job
-from zincwell.core._quotas import Neighbours
-from zincwell.core._shares import Shares
+from zincwell.core._quotas import QuotaPeers
+from zincwell.core._slot_shares import SlotShares
 from zincwell.document import parse_document
 from zincwell.models import Outcome, TaskSpec
 from zincwell.ports import EventKind, Start, Vm, WorkerEvent, WorkerLease, WorkerTransport
@@ -57,22 +57,22 @@
     started, the run time would raise the expected one, and admission would see an overload.
     """
     clock = ManualClock()
-    shares = Shares(vm="a", entries=lambda: ["a"], demand=lambda _: False, clock=clock)
+    shares = SlotShares(vm="a", entries=lambda: ["a"], demand=lambda _: False, clock=clock)
     dispatcher = Dispatcher(
         entry="a:1",
         domain="kariakoo",
         clock=clock,
         timing=TimingSettings(),
         shares=shares,
-        neighbours=lambda: Neighbours(domains=1, peers=0, loads=[]),
+        quota_peers=lambda: QuotaPeers(domains=1, peers=0, loads=[]),
         open_worker=lambda _: SilentStartTransport(),
-        on_starved=lambda: None,
+        on_backlog=lambda: None,
         observe=lambda _: None,
         observe_waste=lambda _: None,
     )
     dispatcher.configure(parse_document(DOCUMENT))
     worker = Vm(vm="w", role="worker", domain="kariakoo", url="", pool="braille", slots=8)
-    dispatcher.take_workers([worker])
+    dispatcher.update_workers([worker])
 
     for number in range(8):
         job = Job(
--- a/tests/test_faults_ownership.py
+++ b/tests/test_faults_ownership.py
@@ -9,7 +9,7 @@
 from testtools.matchers import Equals
 
 from tests.cluster import Cluster
-from tests.samples import key_at, make_submission
+from tests.samples import find_key_with_home, make_submission
 from tests.test_ownership import AT_MOST_ONCE
 from zincwell.core._membership import Seat, home_of_key
 from zincwell.settings import TimingSettings
@@ -65,7 +65,7 @@
     that none has run.
     """
     await cluster.open(domains={"kariakoo": (3, 2)})
-    key = key_at(cluster, domain="kariakoo", home="entry-2")
+    key = find_key_with_home(cluster, domain="kariakoo", home="entry-2")
     home, other = cluster.entry_by_vm["entry-2"], cluster.entry_by_vm["entry-1"]
     await cluster.wait_for("keys newer than the homes", clock_margin_passed())
     submission = make_submission(key=key, attempt=1)
@@ -90,7 +90,7 @@
     the dead home from when the entries started as complete for later grants.
     """
     await cluster.open(domains={"kariakoo": (3, 2)})
-    key = key_at(cluster, domain="kariakoo", home="entry-2")
+    key = find_key_with_home(cluster, domain="kariakoo", home="entry-2")
     home, other = cluster.entry_by_vm["entry-2"], cluster.entry_by_vm["entry-1"]
     await cluster.wait_for("keys newer than the homes", clock_margin_passed())
     submission = make_submission(key=key)
@@ -114,13 +114,13 @@
     """
     await cluster.open(domains={"kariakoo": (2, 2)})
     owner, other = cluster.entry_by_vm.values()
-    key = key_at(cluster, domain="kariakoo", home=other.vm)
+    key = find_key_with_home(cluster, domain="kariakoo", home=other.vm)
     submission = make_submission(key=key)
     await cluster.submit(owner, submission)
 
     await owner.kill()
     born = await cluster.add_entry("kariakoo", vm=owner.vm)
-    owner.relay.aim(born.fields["peers"])
+    owner.relay.set_target(born.fields["peers"])
     await cluster.wait_settled()
     again = await cluster.resend(other, submission)
 
--- a/tests/test_faults_platform.py
+++ b/tests/test_faults_platform.py
@@ -11,7 +11,7 @@
 from testtools.matchers import AllMatch, Contains, Equals, GreaterThan, MatchesAny, Not
 
 from tests.cluster import Cluster, EntryProcess
-from tests.samples import echoes, key_at, make_submission
+from tests.samples import find_key_with_home, list_outputs, make_submission
 from tests.test_configuration import publish, wait_in_force
 from tests.test_ownership import AT_MOST_ONCE
 
@@ -23,7 +23,7 @@
 
 async def serve_one(cluster: Cluster, entry: EntryProcess, key: str) -> list:
     """Run a new job and return the outputs of its tasks."""
-    return echoes(await cluster.submit_to_end(entry, make_submission(key=key)))
+    return list_outputs(await cluster.submit_to_end(entry, make_submission(key=key)))
 
 
 async def wait_logged(cluster: Cluster, entry: EntryProcess, event: str) -> None:
@@ -124,13 +124,15 @@
     await cluster.open(domains=ONE_DOMAIN)
     await cluster.outlast_clock_margin()
     one, other = cluster.entry_by_vm.values()
-    submission = make_submission(key=key_at(cluster, domain="kariakoo", home=other.vm))
+    submission = make_submission(key=find_key_with_home(cluster, domain="kariakoo", home=other.vm))
     _, first = await cluster.submit(one, submission)
 
     silenced = [entry.relay.silence_open_connections() for entry in (one, other)]
     again = await cluster.resend(other, submission)
     served = [
-        await serve_one(cluster, sender, key_at(cluster, domain="kariakoo", home=home.vm) + "0")
+        await serve_one(
+            cluster, sender, find_key_with_home(cluster, domain="kariakoo", home=home.vm) + "0"
+        )
         for sender, home in ((one, other), (other, one))
     ]
 
@@ -303,7 +305,7 @@
     await cluster.open(domains={"kariakoo": (2, 2)})
     await cluster.outlast_clock_margin()
     owner, other = cluster.entry_by_vm.values()
-    submission = make_submission(key=key_at(cluster, domain="kariakoo", home=other.vm))
+    submission = make_submission(key=find_key_with_home(cluster, domain="kariakoo", home=other.vm))
     await cluster.control(cluster.log, down=True)
     await cluster.wait_for("no log", without_log(cluster, [owner, other]))
     await cluster.submit(owner, {**submission, "attempt": 1}, wait=False)
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -10,10 +10,10 @@
 from testtools.matchers import Equals
 
 from tests.test_ownership_property import ManualClock
-from zincwell.core import _guests
+from zincwell.core import _spilled_tasks
 from zincwell.core._follow import NEVER
-from zincwell.core._guests import Guests
 from zincwell.core._jobs import Job, make_answer
+from zincwell.core._spilled_tasks import SpilledTaskRunner
 from zincwell.models import MAX_DEADLINE_MS
 from zincwell.ports import EventKind, Start, WorkerEvent
 from zincwell.settings import TimingSettings
@@ -29,9 +29,9 @@
         queue = SimpleNamespace(size=0, size_by_tenant={})
         self.pool = SimpleNamespace(
             queue=queue,
-            own_waited_at=NEVER,
+            own_backlog_at=NEVER,
             rules=SimpleNamespace(spill=True),
-            room=lambda: ROOM,
+            free_slots=lambda: ROOM,
             capacity=lambda: ROOM,
         )
         self.pool_by_name = {POOL: self.pool}
@@ -55,7 +55,7 @@
         self.clock = ManualClock()
         self.dispatcher = FakeDispatcher()
         self.is_draining = False
-        self.guests = Guests(
+        self.spilled_tasks = SpilledTaskRunner(
             dispatcher=self.dispatcher,
             clock=self.clock,
             timing=TimingSettings(),
@@ -64,16 +64,16 @@
         )
 
     def lease(self, entry: str = "owner") -> str:
-        return self.guests.lease(pool=POOL, entry=entry, ttl_s=0.8).lease
+        return self.spilled_tasks.lease(pool=POOL, entry=entry, ttl_s=0.8).lease
 
     async def start(self, lease: str, task_id: str = "k@t#0.1") -> WorkerEvent:
         """Start one task and return its first event."""
         start = Start(id=task_id, service="transcriber", payload=Raw(b"{}"))
-        events = self.guests.start(pool=POOL, entry="owner", lease=lease, tasks=[start])
+        events = self.spilled_tasks.start(pool=POOL, entry="owner", lease=lease, tasks=[start])
         return await anext(events)
 
     async def watch(self, task_id: str = "k@t#0.1") -> list[WorkerEvent]:
-        return [event async for event in self.guests.watch(ids=[task_id], fence=True)]
+        return [event async for event in self.spilled_tasks.watch(ids=[task_id], fence=True)]
 
 
 @pytest.fixture
@@ -132,13 +132,13 @@
     """
     await lender.watch()
     lender.clock.now += MAX_DEADLINE_MS / 1000
-    lender.guests.forget_old()
+    lender.spilled_tasks.expire_old()
     refused = await lender.start(lender.lease())
     lender.clock.now += MAX_DEADLINE_MS / 1000
-    lender.guests.forget_old()
+    lender.spilled_tasks.expire_old()
 
     assert_that(refused.reason, Equals("seen"))
-    assert_that(lender.guests._spilled_by_id, Equals({}))
+    assert_that(lender.spilled_tasks._spilled_by_id, Equals({}))
 
 
 async def test_full_table_neither_accepts_nor_fences(lender: Lender, monkeypatch):
@@ -147,7 +147,7 @@
     Keeping the memory bound by evicting ids whose owners may still watch them would let a task
     be started twice when many tasks are spilled at once.
     """
-    monkeypatch.setattr(_guests, "MAX_KNOWN_IDS", 1)
+    monkeypatch.setattr(_spilled_tasks, "MAX_KNOWN_IDS", 1)
     await lender.watch("other@t#0.1")
 
     event = await lender.start(lender.lease())
@@ -162,10 +162,10 @@
 
     If each were granted all idle slots, every second start would be refused.
     """
-    first = lender.guests.lease(pool=POOL, entry="one", ttl_s=0.8)
-    second = lender.guests.lease(pool=POOL, entry="two", ttl_s=0.8)
+    first = lender.spilled_tasks.lease(pool=POOL, entry="one", ttl_s=0.8)
+    second = lender.spilled_tasks.lease(pool=POOL, entry="two", ttl_s=0.8)
     lender.clock.now += 1.0
-    third = lender.guests.lease(pool=POOL, entry="two", ttl_s=0.8)
+    third = lender.spilled_tasks.lease(pool=POOL, entry="two", ttl_s=0.8)
 
     assert_that((first.slots, second.slots, third.slots), Equals((9, 0, 9)))
 
@@ -177,6 +177,6 @@
     lender.dispatcher.pool.queue.size = 3 if why == "own queue" else 0
     lender.dispatcher.pool.rules.spill = why != "setting off"
 
-    lease = lender.guests.lease(pool=POOL, entry="owner", ttl_s=0.8)
+    lease = lender.spilled_tasks.lease(pool=POOL, entry="owner", ttl_s=0.8)
 
     assert_that((lease.slots, lease.leaving), Equals((0, why == "draining")))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,7 +13,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, ContainsAll, Equals
 
-from tests.lone import DOCUMENT, LoneEntry, open_lone_entry
+from tests.lone import DOCUMENT, SingleEntry, open_single_entry
 from zincwell.core._publishing import Proposal
 
 
@@ -32,13 +32,13 @@
 
 
 @pytest.fixture
-async def lone() -> AsyncIterator[LoneEntry]:
-    async with open_lone_entry() as lone:
+async def lone() -> AsyncIterator[SingleEntry]:
+    async with open_single_entry() as lone:
         yield lone
 
 
 @pytest.fixture
-async def caller(lone: LoneEntry) -> AsyncIterator[Caller]:
+async def caller(lone: SingleEntry) -> AsyncIterator[Caller]:
     async with aiohttp.ClientSession() as session:
         yield Caller(url=lone.url, session=session)
 
@@ -49,7 +49,7 @@
     return {"id": change_id, "base": base, "document": document}
 
 
-async def test_check_shows_what_a_document_would_change(lone: LoneEntry, caller: Caller):
+async def test_check_shows_what_a_document_would_change(lone: SingleEntry, caller: Caller):
     status, answer = await caller.post("/v1/config/check", make_proposal(base=0)["document"])
 
     patch = {"tenants": {"school": {"weight": 3.0}}}
@@ -76,7 +76,7 @@
     ],
 )
 async def test_malformed_proposal_is_refused_with_its_field(
-    lone: LoneEntry, caller: Caller, changes: dict[str, Any], expected_detail: str
+    lone: SingleEntry, caller: Caller, changes: dict[str, Any], expected_detail: str
 ):
     status, answer = await caller.post("/v1/config", {**make_proposal(base=0), **changes})
 
@@ -100,7 +100,7 @@
     assert_that(answer["reason"], Equals("bad_request"))
 
 
-async def test_proposal_at_an_entry_that_has_not_read_its_base(lone: LoneEntry):
+async def test_proposal_at_an_entry_that_has_not_read_its_base(lone: SingleEntry):
     """A change whose base this entry is about to read is not rejected as conflicting.
 
     An operator publishes twice in a row. The first change is accepted at one entry, the second
@@ -118,10 +118,10 @@
 
 
 async def test_proposal_at_an_entry_that_stays_behind(
-    lone: LoneEntry, caller: Caller, monkeypatch: pytest.MonkeyPatch
+    lone: SingleEntry, caller: Caller, monkeypatch: pytest.MonkeyPatch
 ):
     """An entry that does not reach the base of a change refuses it as ``entry_behind``."""
-    monkeypatch.setattr("zincwell.core._publishing.VERDICT_WAIT_S", 0.1)
+    monkeypatch.setattr("zincwell.core._publishing.VERDICT_TIMEOUT_S", 0.1)
     status, answer = await caller.post("/v1/config", make_proposal(base=7))
 
     assert_that((status, answer["reason"]), Equals((425, "entry_behind")))
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -9,7 +9,7 @@
 from testtools.matchers import AfterPreprocessing, AllMatch, Equals, LessThan
 
 from tests.cluster import Cluster
-from tests.samples import echoes, key_at, make_submission
+from tests.samples import find_key_with_home, list_outputs, make_submission
 
 ONE_DOMAIN = {"kariakoo": (2, 2)}
 THREE_ENTRIES = {"kariakoo": (3, 2)}
@@ -27,7 +27,7 @@
     """
     await cluster.open(domains=ONE_DOMAIN)
     owner = cluster.entry_by_vm["entry-0"]
-    key = key_at(cluster, domain="kariakoo", home="entry-1")
+    key = find_key_with_home(cluster, domain="kariakoo", home="entry-1")
     submission = make_submission(key=key, sleep_ms=400)
     sending = asyncio.ensure_future(cluster.submit(owner, submission))
     await cluster.wait_started(8)
@@ -49,7 +49,7 @@
     grant from the owner.
     """
     await cluster.open(domains=THREE_ENTRIES)
-    key = key_at(cluster, domain="kariakoo", home="entry-2")
+    key = find_key_with_home(cluster, domain="kariakoo", home="entry-2")
     submission = make_submission(key=key, tasks=16, sleep_ms=4_000)
     owner, other = cluster.entry_by_vm["entry-0"], cluster.entry_by_vm["entry-1"]
     sending = asyncio.ensure_future(cluster.submit(owner, submission))
@@ -61,7 +61,7 @@
     _, answer = await sending
 
     assert_that(again, Equals(answer))
-    assert_that(echoes(answer), Equals(list(range(16))))
+    assert_that(list_outputs(answer), Equals(list(range(16))))
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
 
 
@@ -75,7 +75,7 @@
     await cluster.open(domains=THREE_ENTRIES)
     home = cluster.entry_by_vm["entry-2"]
     owner, other = cluster.entry_by_vm["entry-0"], cluster.entry_by_vm["entry-1"]
-    key = key_at(cluster, domain="kariakoo", home="entry-2")
+    key = find_key_with_home(cluster, domain="kariakoo", home="entry-2")
     submission = make_submission(key=key, tasks=4)
 
     home.signal(signal.SIGSTOP)
@@ -190,7 +190,7 @@
     await cluster.open(domains=ONE_DOMAIN)
     await cluster.outlast_clock_margin()
     owner, other = cluster.entry_by_vm["entry-0"], cluster.entry_by_vm["entry-1"]
-    key = key_at(cluster, domain="kariakoo", home="entry-0")
+    key = find_key_with_home(cluster, domain="kariakoo", home="entry-0")
     submission = make_submission(key=key, sleep_ms=300)
     sending = asyncio.ensure_future(cluster.submit(owner, submission))
     await cluster.wait_started(8)
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -23,25 +23,25 @@
     estimator = AnswerTimeoutEstimator()
     assert_that(estimator.answer_timeout_s(), Equals(0.25))
     for _ in range(20):
-        estimator.note(0.003)
+        estimator.note_answer(0.003)
     assert_that(estimator.answer_timeout_s(), Equals(0.02))
     for _ in range(5):
-        estimator.note(0.065)
+        estimator.note_answer(0.065)
     assert_that(estimator.answer_timeout_s(), GreaterThan(0.065))
     for _ in range(60):
-        estimator.note(0.003)
+        estimator.note_answer(0.003)
     assert_that(estimator.answer_timeout_s(), Equals(0.02))
 
 
 def test_the_timeout_doubles_with_each_call_that_times_out():
     estimator = AnswerTimeoutEstimator()
-    estimator.note(0.003)
+    estimator.note_answer(0.003)
     estimator.note_timeout()
     assert_that(estimator.answer_timeout_s(), Equals(0.04))
     for _ in range(9):
         estimator.note_timeout()
     assert_that(estimator.answer_timeout_s(), Equals(0.25))
-    estimator.note(0.003)
+    estimator.note_answer(0.003)
     assert_that(estimator.answer_timeout_s(), Equals(0.02))
 
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -5,7 +5,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from tests.lone import LoneEntry, open_lone_entry
+from tests.lone import SingleEntry, open_single_entry
 from zincwell.ports import Vm
 
 
@@ -20,7 +20,7 @@
     )
 
 
-def workers_by_pool(lone: LoneEntry) -> dict[str, list[str]]:
+def workers_by_pool(lone: SingleEntry) -> dict[str, list[str]]:
     pools = lone.entry.dispatcher.pool_by_name.values()
     return {pool.name: list(pool.worker_by_name) for pool in pools}
 
@@ -34,14 +34,14 @@
     raises in the task that watches the list: it ends, and the entry no longer notices workers
     that leave.
     """
-    async with open_lone_entry() as lone:
+    async with open_single_entry() as lone:
         await lone.publish({"pools": {"print": {}}}, change_id="print")
         dispatcher = lone.entry.dispatcher
-        dispatcher.take_workers([worker_vm("braille")])
+        dispatcher.update_workers([worker_vm("braille")])
 
-        dispatcher.take_workers([worker_vm("print")])
+        dispatcher.update_workers([worker_vm("print")])
         moved = workers_by_pool(lone)
-        dispatcher.take_workers([])
+        dispatcher.update_workers([])
 
         assert_that(moved, Equals({"braille": [], "print": ["worker-0"]}))
         assert_that(workers_by_pool(lone), Equals({"braille": [], "print": []}))
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -9,7 +9,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength, Is, LessThan
 
-from zincwell.dispatch._feeds import TopicFollower
+from zincwell.dispatch._topic_follower import TopicFollower
 from zincwell.dispatch.ports import Store, StorePage, StoreRecord, Topic
 from zincwell.platform._store import RecordDecoder
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -10,9 +10,9 @@
 
 from tests.dispatch_world import World, make_job
 from tests.pool_jobs import finish, other_than, submit, verdicts
-from zincwell.dispatch._callers import OwnerChannel, PendingJobTracker
 from zincwell.dispatch._messages import JobEnded, Submit
 from zincwell.dispatch._metrics import Metrics
+from zincwell.dispatch._pending_jobs import OwnerChannel, PendingJobTracker
 from zincwell.dispatch._types import Outcome, Verdict
 
 pytestmark = pytest.mark.looptime
--- a/tests/test_spill.py
+++ b/tests/test_spill.py
@@ -9,7 +9,7 @@
 from testtools.matchers import Equals, GreaterThan
 
 from tests.cluster import Cluster, EntryProcess, WorkerProcess, task_name
-from tests.samples import echoes, make_submission
+from tests.samples import list_outputs, make_submission
 from tests.test_ownership import AT_MOST_ONCE
 
 #: 8 slots in the domain of the burst, 16 in the one that lends.
@@ -31,7 +31,7 @@
 
     _, answer = await cluster.submit(owner, _burst(tasks=40, sleep_ms=400))
 
-    assert_that(echoes(answer), Equals(list(range(40))))
+    assert_that(list_outputs(answer), Equals(list(range(40))))
     assert_that(len(await _starts_in(cluster, "ubungo")), GreaterThan(7))
     assert_that(sorted((await cluster.starts_by_task()).values()), Equals([1] * 40))
 
@@ -43,7 +43,7 @@
 
     _, answer = await cluster.submit(owner, _burst(tasks=40, sleep_ms=100))
 
-    assert_that(echoes(answer), Equals(list(range(40))))
+    assert_that(list_outputs(answer), Equals(list(range(40))))
     assert_that(await _starts_in(cluster, "ubungo"), Equals([]))
 
 
@@ -69,8 +69,8 @@
     # SLOTS own tasks are left out.
     first, last = positions[SLOTS], positions[-SLOTS - 1]
     spilled_between = last - first + 1 - (len(positions) - 2 * SLOTS)
-    assert_that(echoes(answer), Equals(list(range(100))))
-    assert_that(echoes(own_answer), Equals(list(range(40))))
+    assert_that(list_outputs(answer), Equals(list(range(100))))
+    assert_that(list_outputs(own_answer), Equals(list(range(40))))
     assert_that(spilled_between, Equals(0))
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
 
@@ -93,7 +93,7 @@
     cluster.heal_domains("kariakoo", "ubungo")
     _, answer = await sending
 
-    assert_that(echoes(answer), Equals(list(range(20))))
+    assert_that(list_outputs(answer), Equals(list(range(20))))
     assert_that(sorted((await cluster.starts_by_task()).values()), Equals([1] * 20))
 
 
@@ -118,7 +118,7 @@
     assert_that(answer["outcome"], Equals("outcome_unknown"))
     assert_that(answer["reason"], Equals("worker_lost"))
     assert_that(repeated, Equals(answer))
-    assert_that(echoes(own), Equals(list(range(8))))
+    assert_that(list_outputs(own), Equals(list(range(8))))
     await _assert_outcomes_match_ledgers(cluster, submission, answer)
 
 
@@ -158,7 +158,7 @@
 
     await lender.kill()
     successor = await cluster.add_entry("ubungo")
-    lender.relay.aim(successor.fields["peers"])
+    lender.relay.set_target(successor.fields["peers"])
     _, answer = await sending
 
     assert_that(answer["outcome"], Equals("outcome_unknown"))
@@ -205,7 +205,7 @@
     _, answer = await sending
 
     assert_that(silenced, GreaterThan(0))
-    assert_that(echoes(answer), Equals(list(range(20))))
+    assert_that(list_outputs(answer), Equals(list(range(20))))
     assert_that(sorted((await cluster.starts_by_task()).values()), Equals([1] * 20))
 
 
@@ -247,7 +247,7 @@
     _, answer = await sending
 
     assert_that(code, Equals(0))
-    assert_that(echoes(answer), Equals(list(range(20))))
+    assert_that(list_outputs(answer), Equals(list(range(20))))
     assert_that(sorted((await cluster.starts_by_task()).values()), Equals([1] * 20))
 
 
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -33,7 +33,7 @@
     assert_that(run.projected_total_s(), Is(None))
     run.note_progress(1_250, percent=25.0)
     assert_that(run.projected_total_s(), Equals(1.0))
-    assert_that(run.left_s(0.25, expected_s=0.2), Equals(0.75))
+    assert_that(run.remaining_s(0.25, expected_s=0.2), Equals(0.75))
     assert_that(run.stalled_s(1_400), Equals(0.15))
 
 
@@ -42,7 +42,7 @@
     run.note_progress(1_000, percent=50.0)
     run.note_progress(1_100, percent=60.0)
     assert_that(run.projected_total_s(), Equals(1.0))
-    assert_that(run.left_s(99.0, expected_s=1.0), Equals(0.4))
+    assert_that(run.remaining_s(99.0, expected_s=1.0), Equals(0.4))
 
 
 @pytest.mark.parametrize(
@@ -60,9 +60,9 @@
 
 
 def test_a_task_is_moved_twice_at_most():
-    assert_that(is_move_worthwhile(left_s=4.0, expected_s=0.9, moves=1), Is(True))
-    assert_that(is_move_worthwhile(left_s=4.0, expected_s=0.9, moves=2), Is(False))
-    assert_that(is_move_worthwhile(left_s=1.3, expected_s=0.9, moves=0), Is(False))
+    assert_that(is_move_worthwhile(remaining_s=4.0, expected_s=0.9, moves=1), Is(True))
+    assert_that(is_move_worthwhile(remaining_s=4.0, expected_s=0.9, moves=2), Is(False))
+    assert_that(is_move_worthwhile(remaining_s=1.3, expected_s=0.9, moves=0), Is(False))
 
 
 def test_slow_workers_do_not_spoil_the_estimates_of_a_route():
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -10,7 +10,7 @@
 from testtools.matchers import AllMatch, Equals, LessThan
 
 from tests.cluster import Cluster
-from tests.samples import echoes, make_submission
+from tests.samples import list_outputs, make_submission
 from tests.test_ownership import AT_MOST_ONCE
 
 ONE_ENTRY = {"kariakoo": (1, 2)}
@@ -35,7 +35,7 @@
     _, answer = await sending
 
     assert_that(sum(silenced) > 0, Equals(True))
-    assert_that(echoes(answer), Equals(list(range(16))))
+    assert_that(list_outputs(answer), Equals(list(range(16))))
     assert_that(len(await cluster.ledger()), Equals(16))
 
 
@@ -55,7 +55,7 @@
         worker.relay.silence_open_connections()
     _, answer = await cluster.submit(entry, make_submission(key="kariakoo/b", tasks=16))
 
-    assert_that(echoes(answer), Equals(list(range(16))))
+    assert_that(list_outputs(answer), Equals(list(range(16))))
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
 
 
@@ -71,7 +71,7 @@
 
     _, answer = await cluster.submit(entry, make_submission(key="kariakoo/a", tasks=20))
 
-    assert_that(echoes(answer), Equals(list(range(20))))
+    assert_that(list_outputs(answer), Equals(list(range(20))))
     assert_that(len(await cluster.ledger()), Equals(20))
 
 
@@ -94,8 +94,8 @@
         cluster.submit(entry, one), cluster.submit(entry, two)
     )
 
-    assert_that(echoes(first), Equals(list(range(20))))
-    assert_that(echoes(second), Equals([f"other {number}" for number in range(20)]))
+    assert_that(list_outputs(first), Equals(list(range(20))))
+    assert_that(list_outputs(second), Equals([f"other {number}" for number in range(20)]))
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
 
 
@@ -115,7 +115,7 @@
 
     _, answer = await cluster.submit(entry, submission)
 
-    assert_that(echoes(answer), Equals([1_000 + number for number in range(20)]))
+    assert_that(list_outputs(answer), Equals([1_000 + number for number in range(20)]))
     assert_that(await cluster.starts_by_task(), AT_MOST_ONCE)
 
 
@@ -137,7 +137,7 @@
     outcomes = [task["outcome"] for task in answer["tasks"]]
     assert_that(answer["outcome"], Equals("outcome_unknown"))
     assert_that(answer["reason"], Equals("worker_lost"))
-    assert_that(echoes(answer), AllMatch(Equals(None)))
+    assert_that(list_outputs(answer), AllMatch(Equals(None)))
     assert_that(set(outcomes), Equals({"outcome_unknown"}))
 
 
@@ -155,7 +155,7 @@
     await cluster.wait_started(8)
 
     restarted = await cluster._start("worker-restarted", "-m", "zincwell.standins", "worker")
-    worker.relay.aim(restarted.fields["url"])
+    worker.relay.set_target(restarted.fields["url"])
     await worker.kill()
     _, answer = await sending
 
@@ -180,7 +180,7 @@
     started = {int(s["id"].rpartition("#")[2].partition(".")[0]) for s in await cluster.ledger()}
     not_run = {n for n, outcome in enumerate(outcomes) if outcome == "not_run"}
     assert_that((status, answer["outcome"], outcomes[3]), Equals((502, "failed", "failed")))
-    assert_that(echoes(answer), AllMatch(Equals(None)))
+    assert_that(list_outputs(answer), AllMatch(Equals(None)))
     assert_that(started & not_run, Equals(set()))
     assert_that(len(started), LessThan(9))
 
--- a/zincwell/client.py
+++ b/zincwell/client.py
@@ -215,7 +215,7 @@
             await asyncio.sleep(backoff_s)
             if was_sent:
                 attempt += 1
-                never_run &= _has_not_run(answer)
+                never_run &= _confirms_not_run(answer)
 
     def _entry_time(self) -> float | None:
         """Return the estimated time of the entries, or None if no clock has been read."""
@@ -314,7 +314,7 @@
     return Raw(msgspec.json.encode(payload))
 
 
-def _has_not_run(answer: Answer | None) -> bool:
+def _confirms_not_run(answer: Answer | None) -> bool:
     """Return whether an answer confirms that the attempt ran nothing.
 
     ``stale`` means that the attempt arrived too late for the entry to rely on its ``never_run``.
--- a/zincwell/core/_directory.py
+++ b/zincwell/core/_directory.py
@@ -14,7 +14,7 @@
 log = logging.getLogger("zincwell.directory")
 
 
-class DirectoryWatcher:
+class DirectoryPoller:
     """Polls the list of VMs and reports the workers of one domain.
 
     A list that lacks more than half of the known workers at once is more likely wrong than
@@ -48,12 +48,12 @@
         """Poll the list until cancelled."""
         while True:
             try:
-                self.take(await self._directory.list_vms())
+                self.update(await self._directory.list_vms())
             except DirectoryUnavailableError as error:
                 log.info("directory_unavailable", extra={"error": error})
             await asyncio.sleep(self._poll_s)
 
-    def take(self, vms: list[Vm]) -> None:
+    def update(self, vms: list[Vm]) -> None:
         """Process a list and report the workers."""
         entries = [vm.url for vm in vms if vm.role == "entry"]
         self.entry_urls = entries or self.entry_urls
--- a/zincwell/core/_dispatch.py
+++ b/zincwell/core/_dispatch.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from zincwell.core._jobs import GUEST_TENANT, Job, Task, TaskState, make_answer
+from zincwell.core._jobs import SPILLED_TENANT, Job, Task, TaskState, make_answer
 from zincwell.core._ordering import Queue, make_queue
 from zincwell.core._pool import Pool
-from zincwell.core._quotas import Neighbours, Quotas
+from zincwell.core._quotas import QuotaPeers, Quotas
 from zincwell.core._runtimes import RunTimes
-from zincwell.core._shares import Shares
+from zincwell.core._slot_shares import SlotShares
 from zincwell.core._worker import Worker
 from zincwell.document import Document
 from zincwell.document import Pool as PoolRules
@@ -21,7 +21,7 @@
 from zincwell.settings import TimingSettings
 
 RUN_LIMIT_CHECK_PERIOD_S = 0.1
-GUEST_WEIGHT = 0.1
+SPILLED_WEIGHT = 0.1
 
 log = logging.getLogger("zincwell.dispatch")
 
@@ -32,9 +32,9 @@
     :param entry: seat id of this entry, by which workers know the owner of its tasks.
     :param domain: failure domain of this entry.
     :param shares: this entry's share of the slots and connections of each worker.
-    :param neighbours: returns the entries that share the quotas of running tasks.
+    :param quota_peers: returns the entries that share the quotas of running tasks.
     :param open_worker: creates the transport to a worker.
-    :param on_starved: called when queued tasks are left after all free slots are taken.
+    :param on_backlog: called when queued tasks are left after all free slots are taken.
     :param observe: called with each task that reaches its final state, for metrics.
     :param observe_waste: called with the kind of each wasted message.
     """
@@ -46,23 +46,23 @@
         domain: str,
         clock: Clock,
         timing: TimingSettings,
-        shares: Shares,
-        neighbours: Callable[[], Neighbours],
+        shares: SlotShares,
+        quota_peers: Callable[[], QuotaPeers],
         open_worker: Callable[[Vm], WorkerTransport],
-        on_starved: Callable[[], None],
+        on_backlog: Callable[[], None],
         observe: Callable[[Task], None],
         observe_waste: Callable[[str], None],
     ):
         self.document: Document | None = None
         self.pool_by_name: dict[str, Pool] = {}
         self.run_times = RunTimes(default_s=self._declared_run_s)
-        self.quotas = Quotas(limit=self._max_running, neighbours=neighbours)
+        self.quotas = Quotas(limit=self._max_running, quota_peers=quota_peers)
         self._entry = entry
         self._domain = domain
         self._clock = clock
         self._timing = timing
         self._shares = shares
-        self._on_starved = on_starved
+        self._on_backlog = on_backlog
         self._open_worker = open_worker
         self._observe = observe
         self._observe_waste = observe_waste
@@ -81,7 +81,7 @@
             else:
                 self._update_rules(pool, rules)
 
-    def take_workers(self, vms: list[Vm]) -> None:
+    def update_workers(self, vms: list[Vm]) -> None:
         """Add and drop workers to match the list of VMs of this domain.
 
         A worker whose pool has changed is dropped from the old pool and added to the new one;
@@ -152,7 +152,7 @@
                 queued[tenant] = queued.get(tenant, 0) + count
         return queued
 
-    async def run_stop_rules(self) -> None:
+    async def enforce_run_limits(self) -> None:
         """Stop tasks that exceed the run time limit of their urgency class, until cancelled."""
         while True:
             await asyncio.sleep(RUN_LIMIT_CHECK_PERIOD_S)
@@ -230,8 +230,8 @@
     ) -> None:
         if worker is not None:
             worker.health.note_failure(now=self._clock.monotonic())
-            remaining_s = task.started_at + self.run_times.expected_s(task.job.service)
-            worker.hold_slot(remaining_s - self._clock.monotonic())
+            expected_end_at = task.started_at + self.run_times.expected_s(task.job.service)
+            worker.hold_slot(expected_end_at - self._clock.monotonic())
             if pool.eject_if_outlier(worker):
                 log.warning("worker_ejected", extra={"worker": worker.name, "pool": pool.name})
         if not self._retry(pool, task, event.reason):
@@ -337,7 +337,7 @@
             quotas=self.quotas,
             clock=self._clock,
             seed=f"{self._entry}/{name}",
-            on_starved=self._on_starved,
+            on_backlog=self._on_backlog,
         )
 
     def _update_rules(self, pool: Pool, rules: PoolRules) -> None:
@@ -394,8 +394,8 @@
         return rules.max_running if rules is not None else 0
 
     def _weight(self, tenant: str) -> float:
-        if tenant == GUEST_TENANT:
-            return GUEST_WEIGHT
+        if tenant == SPILLED_TENANT:
+            return SPILLED_WEIGHT
         rules = self.document.tenants.get(tenant)
         return rules.weight if rules is not None else 1.0
 
--- a/zincwell/core/_follow.py
+++ b/zincwell/core/_follow.py
@@ -44,7 +44,7 @@
         else:
             self._apply(record)
         self.next_offset = record.offset + 1
-        self._tell_changed()
+        self._notify_changed()
 
     def adopt(self, *, next_offset: int, snapshot: dict[str, Any]) -> bool:
         """Replace the state by a later one from a peer or a snapshot record.
@@ -56,14 +56,14 @@
         self._load(snapshot)
         self.next_offset = next_offset
         self.snapshot_offset = next_offset
-        self._tell_changed()
+        self._notify_changed()
         return True
 
     async def changed(self) -> None:
         """Wait for the next record or snapshot to be folded."""
         await self._changed.wait()
 
-    def _tell_changed(self) -> None:
+    def _notify_changed(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
--- a/zincwell/core/_rooms.py
+++ b/zincwell/core/_free_slots.py
@@ -8,20 +8,20 @@
 from zincwell.core._worker import Worker
 
 
-class Rooms:
+class FreeSlots:
     """Free slots of workers, taken one by one.
 
     The next slot is one of the worker with the largest share of free slots, divided by its
     slowness; ties are broken at random. A heap is used because a scan of all workers per task
     costs more than the start itself once a domain has hundreds of workers.
 
-    :param room_by_worker: number of free slots, at least 1.
-    :param source: random numbers that break ties.
+    :param free_slots_by_worker: number of free slots, at least 1.
+    :param rng: random numbers that break ties.
     """
 
-    def __init__(self, *, room_by_worker: dict[Worker, int], source: random.Random):
-        self._source = source
-        self._heap = [self._item(worker, room) for worker, room in room_by_worker.items()]
+    def __init__(self, *, free_slots_by_worker: dict[Worker, int], rng: random.Random):
+        self._rng = rng
+        self._heap = [self._item(worker, free) for worker, free in free_slots_by_worker.items()]
         heapq.heapify(self._heap)
 
     def __bool__(self) -> bool:
@@ -29,13 +29,13 @@
 
     def take(self) -> Worker:
         """Take one slot and return its worker."""
-        _, _, room, worker = self._heap[0]
-        if room > 1:
-            heapq.heapreplace(self._heap, self._item(worker, room - 1))
+        _, _, free, worker = self._heap[0]
+        if free > 1:
+            heapq.heapreplace(self._heap, self._item(worker, free - 1))
         else:
             heapq.heappop(self._heap)
         return worker
 
-    def _item(self, worker: Worker, room: int) -> tuple[float, float, int, Worker]:
-        preference = room / max(1, worker.slots) / worker.health.slowness
-        return -preference, self._source.random(), room, worker
+    def _item(self, worker: Worker, free: int) -> tuple[float, float, int, Worker]:
+        preference = free / max(1, worker.slots) / worker.health.slowness
+        return -preference, self._rng.random(), free, worker
--- a/zincwell/core/_home.py
+++ b/zincwell/core/_home.py
@@ -60,7 +60,7 @@
     """Grants the keys that this entry is home to.
 
     :param domains: returns the failure domains over which keys without a prefix are spread.
-    :param owned_here: returns the ownership record of a key that this entry itself owns, or
+    :param find_owned: returns the ownership record of a key that this entry itself owns, or
         None. A new home often owns keys that the previous home granted to it.
     """
 
@@ -72,9 +72,9 @@
         clock: Clock,
         timing: TimingSettings,
         domains: Callable[[], list[str]],
-        owned_here: Callable[[str], OwnedKey | None],
+        find_owned: Callable[[str], OwnedKey | None],
     ):
-        self._owned_here = owned_here
+        self._find_owned = find_owned
         self._domains = domains
         self._keeper = keeper
         self._membership = membership
@@ -100,7 +100,7 @@
             return ClaimReply(kind=ClaimKind.MOVED)
         if not self._keeper.may_grant() or self._keeper.leaving:
             return _not_ready("no_lease")
-        owned = self._owned_by_key.get(claim.key) or self._owned_here(claim.key)
+        owned = self._owned_by_key.get(claim.key) or self._find_owned(claim.key)
         if owned is None:
             return self._claim_new(asker, claim)
         if claim.intent is Intent.REFUSE and owned.owner.id == asker.id:
@@ -163,7 +163,7 @@
         earlier = [seat for seat in before.seats if seat.vm == me.vm]
         return earlier or before.seats
 
-    def take_over(self, reply: HandoverReply) -> None:
+    def merge_handover(self, reply: HandoverReply) -> None:
         """Merge the keys that another entry handed over; the grant with the higher serial wins."""
         for key in reply.keys:
             known = self._owned_by_key.get(key.key)
@@ -173,7 +173,7 @@
             view.floor_by_seat.setdefault(reply.seat.id, reply.floor)
         self._pending_handovers.discard(reply.seat.id)
 
-    def awaited(self) -> list[Seat]:
+    def seats_pending_handover(self) -> list[Seat]:
         """Return the seats whose handover is still pending."""
         seats = {seat.id: seat for seat in self._membership.seats_by_vm.values()}
         if self._clock.monotonic() < self._leaving_seats_until:
@@ -181,7 +181,7 @@
         self._pending_handovers &= set(seats)
         return [seats[seat_id] for seat_id in sorted(self._pending_handovers)]
 
-    def forget_old(self) -> None:
+    def expire_old(self) -> None:
         """Drop keys older than the resubmission window; resends of them are refused anyway."""
         oldest = self._clock.wall() - self._timing.resubmission_window_s
         oldest -= 2 * self._timing.clock_margin_s
--- a/zincwell/core/_jobs.py
+++ b/zincwell/core/_jobs.py
@@ -17,7 +17,7 @@
 from zincwell.settings import MemorySettings, TimingSettings
 
 #: Tenant of tasks that run here for entries of other domains; not available to callers.
-GUEST_TENANT = "~guests"
+SPILLED_TENANT = "~guests"
 
 
 #: Memory charged per task of a cached answer besides its output: 218 bytes, rounded up.
@@ -115,7 +115,7 @@
     return f"{key}@{tenant}"
 
 
-def digest_of(submission: Submission) -> int:
+def digest_submission(submission: Submission) -> int:
     """Return a digest of a submission's service and tasks, to detect a reused key."""
     content = (submission.service, submission.tasks)
     return xxhash.xxh3_64_intdigest(msgspec.json.encode(content))
@@ -184,7 +184,7 @@
     size: int
 
 
-class JobBook:
+class OwnedJobs:
     """Registry of the jobs that this entry owns or has owned within the resubmission window.
 
     :ivar jobs_by_key: jobs, running and answered.
@@ -226,7 +226,7 @@
                 return
             await asyncio.wait(open_answers)
 
-    def keep(self, job: Job) -> None:
+    def cache_answer(self, job: Job) -> None:
         """Cache a job's answer, and drop the oldest outputs until the memory limit is met."""
         answer = job.answer.result()
         size = sum(CACHED_TASK_OVERHEAD_BYTES + len(bytes(task.output)) for task in answer.tasks)
@@ -238,7 +238,7 @@
                 return
             self._drop_outputs(cached)
 
-    def forget_old(self) -> None:
+    def expire_old(self) -> None:
         """Drop answered jobs and closed serials past the resubmission window."""
         cutoff = self._clock.wall() - self._timing.resubmission_window_s
         cutoff -= 2 * self._timing.clock_margin_s
--- a/zincwell/core/_owners.py
+++ b/zincwell/core/_owners.py
@@ -6,7 +6,7 @@
 import logging
 
 from zincwell.core._answers import answer_from, reused_answer, unknown_answer
-from zincwell.core._jobs import digest_of
+from zincwell.core._jobs import digest_submission
 from zincwell.core._membership import Membership, Seat
 from zincwell.core._messages import AttachCall, AttachKind, AttachReply, CancelCall, ClaimReply
 from zincwell.core._peers import Peers
@@ -42,7 +42,7 @@
             owner=owned.owner.id,
             serial=owned.serial,
             wait_s=ATTACH_WAIT_S,
-            digest=digest_of(submission),
+            digest=digest_submission(submission),
         )
         heard_at = self._clock.monotonic()
         while True:
--- a/zincwell/core/_pool.py
+++ b/zincwell/core/_pool.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 
 from zincwell.core._follow import NEVER
+from zincwell.core._free_slots import FreeSlots
 from zincwell.core._health import may_eject_more, should_eject
-from zincwell.core._jobs import GUEST_TENANT, Task
+from zincwell.core._jobs import SPILLED_TENANT, Task
 from zincwell.core._ordering import Queue
 from zincwell.core._quotas import Quotas
 from zincwell.core._retries import RetryBudget
-from zincwell.core._rooms import Rooms
-from zincwell.core._shares import Shares
+from zincwell.core._slot_shares import SlotShares
 from zincwell.core._worker import Worker
 from zincwell.document import Pool as PoolRules
 from zincwell.ports import Clock
@@ -29,9 +29,9 @@
     :param shares: this entry's share of the slots and connections of each worker.
     :param quotas: quotas of running tasks by tenant.
     :param seed: seed of the random choice between equally preferred workers.
-    :param on_starved: called when queued tasks are left after all free slots are taken.
+    :param on_backlog: called when queued tasks are left after all free slots are taken.
     :ivar lender_by_name: entries of other domains that lend us slots, as workers.
-    :ivar own_waited_at: monotonic time at which tasks of this domain's callers last waited.
+    :ivar own_backlog_at: monotonic time at which tasks of this domain's callers last waited.
     """
 
     def __init__(
@@ -40,13 +40,13 @@
         name: str,
         rules: PoolRules,
         queue: Queue,
-        shares: Shares,
+        shares: SlotShares,
         quotas: Quotas,
         clock: Clock,
         seed: str,
-        on_starved: Callable[[], None],
+        on_backlog: Callable[[], None],
     ):
-        self._on_starved = on_starved
+        self._on_backlog = on_backlog
         self.quotas = quotas
         self.retry_budget = RetryBudget()
         self.name = name
@@ -56,7 +56,7 @@
         self.lender_by_name: dict[str, Worker] = {}
         self._retiring: list[Worker] = []
         self._saturated_since: float | None = None
-        self.own_waited_at = NEVER
+        self.own_backlog_at = NEVER
         self._shares = shares
         self._clock = clock
         self._random = random.Random(seed)
@@ -83,13 +83,13 @@
         lenders = [worker for worker in self.lender_by_name.values() if worker.is_usable()]
         return sum(worker.slots for worker in [*self.usable_workers(), *lenders])
 
-    def room(self) -> int:
+    def free_slots(self) -> int:
         """Return the number of free slots in our domain that this entry may use."""
-        return sum(self._free_slots().values())
+        return sum(self._free_slots_by_worker().values())
 
     def capacity(self) -> int:
         """Return the number of slots in our domain, free or not, that this entry may use."""
-        return sum(self._shares.allowed(worker) for worker in self.usable_workers())
+        return sum(self._shares.usable_slots(worker) for worker in self.usable_workers())
 
     def all_workers(self) -> list[Worker]:
         """Return all workers that may run our tasks, including lenders and retiring workers."""
@@ -137,15 +137,17 @@
         if not self.queue.size:
             self._track_saturation(is_saturated=False)
             return
-        rooms = Rooms(room_by_worker=self._free_slots(), source=self._random)
-        self._place_on(rooms)
-        self._track_saturation(is_saturated=self.queue.size > 0 and not rooms)
-        if self.wants_to_spill():
-            self._place_on(Rooms(room_by_worker=self.lender_rooms(), source=self._random))
+        free_slots = FreeSlots(free_slots_by_worker=self._free_slots_by_worker(), rng=self._random)
+        self._place_on(free_slots)
+        self._track_saturation(is_saturated=self.queue.size > 0 and not free_slots)
+        if self.should_spill():
+            self._place_on(
+                FreeSlots(free_slots_by_worker=self.free_lender_slots(), rng=self._random)
+            )
         if self.queue.size:
-            self._on_starved()
+            self._on_backlog()
 
-    def wants_to_spill(self) -> bool:
+    def should_spill(self) -> bool:
         """Return whether tasks have waited long enough to be run in another domain.
 
         No task is sent on while tasks of other domains are queued here: those would then be
@@ -153,53 +155,55 @@
         """
         if not self.rules.spill or self._saturated_since is None:
             return False
-        if self.queue.size_by_tenant.get(GUEST_TENANT):
+        if self.queue.size_by_tenant.get(SPILLED_TENANT):
             return False
         return self._clock.monotonic() - self._saturated_since >= SPILL_AFTER_S
 
-    def lender_rooms(self) -> dict[Worker, int]:
+    def free_lender_slots(self) -> dict[Worker, int]:
         """Return the free slots that entries of other domains lend us, by lender."""
-        rooms = {
+        free_slots = {
             worker: worker.slots - len(worker.placed_by_id)
             for worker in self.lender_by_name.values()
             if worker.is_usable() and not worker.is_backing_off()
         }
-        return {worker: room for worker, room in rooms.items() if room > 0}
+        return {worker: free for worker, free in free_slots.items() if free > 0}
 
     def _track_saturation(self, *, is_saturated: bool) -> None:
         """Record since when the pool is saturated, and when tasks of our own last waited."""
-        if self.queue.size > self.queue.size_by_tenant.get(GUEST_TENANT, 0):
-            self.own_waited_at = self._clock.monotonic()
+        if self.queue.size > self.queue.size_by_tenant.get(SPILLED_TENANT, 0):
+            self.own_backlog_at = self._clock.monotonic()
         if not is_saturated:
             self._saturated_since = None
         elif self._saturated_since is None:
             self._saturated_since = self._clock.monotonic()
 
-    def _place_on(self, rooms: Rooms) -> None:
+    def _place_on(self, free_slots: FreeSlots) -> None:
         """Place queued tasks on free slots, with one message per worker.
 
-        :param rooms: free slots; those that are taken are removed from it.
+        :param free_slots: free slots; those that are taken are removed from it.
         """
         batch_by_worker: dict[Worker, list[Task]] = {}
-        while rooms:
+        while free_slots:
             task = self.queue.pop()
             if task is None:
                 break
-            worker = rooms.take()
+            worker = free_slots.take()
             self.quotas.note_start(task.job.tenant)
             self._queue_delays_s.append(self._clock.monotonic() - task.queued_at)
             batch_by_worker.setdefault(worker, []).append(task)
         for worker, tasks in batch_by_worker.items():
             worker.place(tasks)
 
-    def _free_slots(self) -> dict[Worker, int]:
+    def _free_slots_by_worker(self) -> dict[Worker, int]:
         """Return the free slots in our domain that this entry may use, by worker."""
-        rooms = {}
+        free_slots = {}
         for worker in self.usable_workers():
-            if worker.is_backing_off() or worker.open_streams >= self._shares.connections(worker):
+            if worker.is_backing_off() or worker.open_streams >= self._shares.max_streams(worker):
                 continue
-            allowed = min(self._shares.allowed(worker), worker.health.concurrency(worker.slots))
-            room = allowed - len(worker.placed_by_id) - worker.held
-            if room > 0:
-                rooms[worker] = room
-        return rooms
+            usable_slots = min(
+                self._shares.usable_slots(worker), worker.health.concurrency(worker.slots)
+            )
+            free = usable_slots - len(worker.placed_by_id) - worker.held_slots
+            if free > 0:
+                free_slots[worker] = free
+        return free_slots
--- a/zincwell/core/_publishing.py
+++ b/zincwell/core/_publishing.py
@@ -14,7 +14,7 @@
 from zincwell.exceptions import DocumentError, LogUnavailableError
 from zincwell.ports import LogService
 
-VERDICT_WAIT_S = 3.0
+VERDICT_TIMEOUT_S = 3.0
 MAX_APPEND_ATTEMPTS = 3
 
 log = logging.getLogger("zincwell.publishing")
@@ -109,7 +109,7 @@
                 await self._configuration.changed()
 
         try:
-            await asyncio.wait_for(reached(), VERDICT_WAIT_S)
+            await asyncio.wait_for(reached(), VERDICT_TIMEOUT_S)
         except TimeoutError:
             return False
         return True
@@ -121,7 +121,7 @@
             return self._configuration.verdict_by_id[change_id]
 
         try:
-            return await asyncio.wait_for(found(), VERDICT_WAIT_S)
+            return await asyncio.wait_for(found(), VERDICT_TIMEOUT_S)
         except TimeoutError:
             return None
 
--- a/zincwell/core/_quotas.py
+++ b/zincwell/core/_quotas.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Neighbours:
+class QuotaPeers:
     """The entries that share quotas with this one.
 
     :ivar domains: number of domains that have entries.
@@ -34,13 +34,13 @@
     """Counts the running tasks of each tenant and decides whether one more may start.
 
     :param limit: returns a tenant's quota of running tasks; 0 for no limit.
-    :param neighbours: returns the entries that share the quotas.
+    :param quota_peers: returns the entries that share the quotas.
     """
 
-    def __init__(self, *, limit: Callable[[str], int], neighbours: Callable[[], Neighbours]):
+    def __init__(self, *, limit: Callable[[str], int], quota_peers: Callable[[], QuotaPeers]):
         self.running_by_tenant: dict[str, int] = {}
         self._limit = limit
-        self._neighbours = neighbours
+        self._quota_peers = quota_peers
 
     def note_start(self, tenant: str) -> None:
         """Count a task that is placed."""
@@ -62,13 +62,13 @@
         return self.running_by_tenant.get(tenant, 0) < self._allowed(tenant, limit)
 
     def _allowed(self, tenant: str, limit: int) -> int:
-        neighbours = self._neighbours()
-        domain_quota = max(1, limit // max(1, neighbours.domains))
-        even_share = max(1, domain_quota // (neighbours.peers + 1))
-        silent_peers = neighbours.peers - len(neighbours.loads)
-        if any(load.queued_by_tenant.get(tenant, 0) for load in neighbours.loads):
+        quota_peers = self._quota_peers()
+        domain_quota = max(1, limit // max(1, quota_peers.domains))
+        even_share = max(1, domain_quota // (quota_peers.peers + 1))
+        silent_peers = quota_peers.peers - len(quota_peers.loads)
+        if any(load.queued_by_tenant.get(tenant, 0) for load in quota_peers.loads):
             return even_share
-        used_by_peers = sum(load.running_by_tenant.get(tenant, 0) for load in neighbours.loads)
+        used_by_peers = sum(load.running_by_tenant.get(tenant, 0) for load in quota_peers.loads)
         # Rounded up for silent peers: rounded down, the parts could add up to more than the quota.
-        peer_share = math.ceil(domain_quota / (neighbours.peers + 1))
+        peer_share = math.ceil(domain_quota / (quota_peers.peers + 1))
         return max(even_share, domain_quota - used_by_peers - silent_peers * peer_share)
--- a/zincwell/core/_seat.py
+++ b/zincwell/core/_seat.py
@@ -79,7 +79,7 @@
         seats = self.membership.seats_of(self.seat.domain)
         return [seat for seat in seats if seat.vm != self.seat.vm]
 
-    def is_first(self) -> bool:
+    def is_first_by_name(self) -> bool:
         """Tell whether this entry's seat is the first of all open seats by VM name."""
         return self.is_open and min(self.membership.seats_by_vm) == self.seat.vm
 
@@ -103,7 +103,7 @@
         oldest = self._clock.monotonic() - self._timing.seat_lease_s
         return self._follower.contact_at > oldest
 
-    def hears_all_peers(self) -> bool:
+    def has_recent_acks(self) -> bool:
         """Tell whether every other open seat of the domain acknowledged a recent heartbeat.
 
         Recent means within two heartbeat periods.
--- a/zincwell/core/_shares.py
+++ b/zincwell/core/_slot_shares.py
@@ -74,7 +74,7 @@
         return max(lent, self.reported_by_worker.get(worker.name, 0))
 
 
-class Shares:
+class SlotShares:
     """Computes how many slots of a worker this entry may use now.
 
     :param vm: name of this entry.
@@ -97,11 +97,11 @@
         self._loan_by_vm: dict[str, Loan] = {}
         self._credit_by_vm: dict[str, Credit] = {}
 
-    def allowed(self, worker: Worker) -> int:
+    def usable_slots(self, worker: Worker) -> int:
         """Return how many slots of a worker this entry may use now."""
         return max(0, self._count_retained(worker) + self._count_borrowed(worker))
 
-    def connections(self, worker: Worker) -> int:
+    def max_streams(self, worker: Worker) -> int:
         """Return how many streams this entry may have open to a worker.
 
         A worker accepts a fixed number of connections from all entries together. Half of this
@@ -109,7 +109,7 @@
         """
         return max(1, worker.vm.connections // len(self._entries()) // 2)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Discard all loans and credits after the entries of the domain have changed.
 
         A peer that has restarted numbers its lendings from the start again, and a peer that has
@@ -120,7 +120,7 @@
 
     # -- lending -------------------------------------------------------------------------
 
-    def may_get_back(self) -> bool:
+    def has_active_lendings(self) -> bool:
         """Tell whether a peer may still act on a lending that gives it slots."""
         loans = self._loan_by_vm.values()
         return any(
@@ -179,10 +179,10 @@
             worker=worker.name,
         )
         lent = sum(self._count_lent(name, worker) for name in borrowers if name != vm)
-        used = len(worker.placed_by_id) + worker.held
+        used = len(worker.placed_by_id) + worker.held_slots
         return max(0, min(part, own - used - lent))
 
-    def note_use(self, vm: str, *, seen: int, used_by_worker: dict[str, int]) -> bool:
+    def note_acknowledgement(self, vm: str, *, seen: int, used_by_worker: dict[str, int]) -> bool:
         """Record a borrower's acknowledgement; tell whether it may have returned slots.
 
         :param seen: number of the latest lending that the borrower has received.
@@ -199,7 +199,7 @@
 
     # -- borrowing -----------------------------------------------------------------------
 
-    def take_offer(self, vm: str, lending: Lending) -> None:
+    def note_lending(self, vm: str, lending: Lending) -> None:
         """Record the lending of a peer, unless a later one has arrived already."""
         known = self._credit_by_vm.get(vm)
         if known is not None and known.lending.number > lending.number > 0:
@@ -212,12 +212,12 @@
             known.previous, known.lending = known.lending, lending
         known.received_at = now
 
-    def seen(self, vm: str) -> int:
+    def last_lending_number(self, vm: str) -> int:
         """Return the number of the latest lending received from a peer, 0 if there is none."""
         credit = self._credit_by_vm.get(vm)
         return credit.lending.number if credit is not None else 0
 
-    def used_of(self, vm: str, workers: list[Worker]) -> dict[str, int]:
+    def count_borrowed_slots(self, vm: str, workers: list[Worker]) -> dict[str, int]:
         """Return the borrowed slots in use that may belong to a peer, by worker.
 
         With several lenders, the same slot may be reported to more than one of them. This leaves
--- a/zincwell/core/_spill.py
+++ b/zincwell/core/_spill.py
@@ -35,7 +35,7 @@
 log = logging.getLogger("zincwell.spill")
 
 
-class Spill:
+class SpillManager:
     """Adds lenders while tasks wait for slots, and removes them afterwards.
 
     :param domain: failure domain of this entry.
@@ -70,7 +70,7 @@
         self._backoff_until_by_seat: dict[str, float] = {}
         self._retiring: set[asyncio.Task] = set()
 
-    def note_starved(self) -> None:
+    def note_backlog(self) -> None:
         """Signal that tasks are queued for which the domain has no free slots."""
         self._demand.set()
 
@@ -93,9 +93,9 @@
     def _check_pool(self, pool: Pool) -> None:
         for worker in list(pool.lender_by_name.values()):
             self._check_lender(pool, worker)
-        if not pool.wants_to_spill():
+        if not pool.should_spill():
             return
-        if not any(pool.lender_rooms()):
+        if not any(pool.free_lender_slots()):
             self._add_lenders(pool)
         pool.wake()
 
@@ -105,10 +105,10 @@
         A lender that runs tasks stays, since a stop of these tasks has to reach it.
         """
         now = self._clock.monotonic()
-        if worker.placed_by_id or worker in pool.lender_rooms():
+        if worker.placed_by_id or worker in pool.free_lender_slots():
             timeout_s = IDLE_TIMEOUT_S
             self._backoff_s_by_seat.pop(worker.name, None)
-            if worker.placed_by_id or pool.wants_to_spill():
+            if worker.placed_by_id or pool.should_spill():
                 self._last_useful_at_by_worker[worker] = now
         else:
             timeout_s = PROBE_TIMEOUT_S
--- a/zincwell/core/_guests.py
+++ b/zincwell/core/_spilled_tasks.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 
 from zincwell.core._dispatch import Dispatcher
-from zincwell.core._jobs import GUEST_TENANT, Job, Task, TaskState
+from zincwell.core._jobs import SPILLED_TENANT, Job, Task, TaskState
 from zincwell.core._pool import Pool
 from zincwell.models import MAX_DEADLINE_MS, Answer, Outcome, TaskSpec
 from zincwell.ports import Clock, EventKind, Start, WorkerEvent, WorkerLease
@@ -85,7 +85,7 @@
     expires_at: float
 
 
-class Guests:
+class SpilledTaskRunner:
     """Runs tasks of entries of other domains.
 
     :param is_draining: returns whether this entry is shutting down.
@@ -190,7 +190,7 @@
         while self._running_by_owner or self._open_streams:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
-    def forget_old(self) -> None:
+    def expire_old(self) -> None:
         """Drop expired outputs, and ids old enough that no owner acts on an answer about them."""
         now = self._clock.monotonic()
         while (
@@ -215,10 +215,10 @@
             return running
         # Slots that are idle only between two bursts of local tasks are taken again before
         # spilled tasks arrive, and each of those starts would be refused.
-        if self._clock.monotonic() - pool.own_waited_at < MIN_TIME_WITHOUT_BACKLOG_S:
+        if self._clock.monotonic() - pool.own_backlog_at < MIN_TIME_WITHOUT_BACKLOG_S:
             return running
         idle = (
-            pool.room()
+            pool.free_slots()
             - pool.capacity() // HEADROOM_DIVISOR
             - self._count_promised_slots(pool_name, entry)
         )
@@ -253,18 +253,18 @@
 
     def _is_full(self, pool: Pool) -> bool:
         """Tell whether a pool admits no further spilled task."""
-        queued_spilled = pool.queue.size_by_tenant.get(GUEST_TENANT, 0)
+        queued_spilled = pool.queue.size_by_tenant.get(SPILLED_TENANT, 0)
         queued_own = pool.queue.size - queued_spilled
         # A few tasks may wait briefly: a refusal costs a message, and slots that were lent
         # within the domain are returned by the next heartbeat.
-        is_short = pool.room() <= queued_spilled and queued_spilled >= MAX_WAITING_TASKS
+        is_short = pool.free_slots() <= queued_spilled and queued_spilled >= MAX_WAITING_TASKS
         return queued_own > 0 or is_short or len(self._spilled_by_id) >= MAX_KNOWN_IDS
 
     def _accept(self, pool: str, entry: str, start: Start) -> SpilledTask:
         now = self._clock.monotonic()
         job = Job(
             key=start.id,
-            tenant=GUEST_TENANT,
+            tenant=SPILLED_TENANT,
             service=start.service,
             pool=pool,
             urgency="",
--- a/zincwell/core/_submissions.py
+++ b/zincwell/core/_submissions.py
@@ -13,7 +13,7 @@
 from zincwell.core._admission import Admission, Refusal
 from zincwell.core._answers import attach_reply_of, not_run_answer, reused_answer, unknown_answer
 from zincwell.core._dispatch import Dispatcher
-from zincwell.core._jobs import Job, JobBook, digest_of, full_key
+from zincwell.core._jobs import Job, OwnedJobs, digest_submission, full_key
 from zincwell.core._membership import Membership, Seat
 from zincwell.core._messages import (
     AttachCall,
@@ -49,7 +49,7 @@
 
     :param seat: seat of this entry.
     :param ownership: asks the home of a key for a grant.
-    :param book: jobs that this entry owns, and their answers.
+    :param owned_jobs: jobs that this entry owns, and their answers.
     :param observe_refusal: called with the tenant, the urgency and the reason of each refusal.
     """
 
@@ -60,7 +60,7 @@
         membership: Membership,
         ownership: Ownership,
         peers: Peers,
-        book: JobBook,
+        owned_jobs: OwnedJobs,
         dispatcher: Dispatcher,
         admission: Admission,
         clock: Clock,
@@ -70,7 +70,7 @@
         self._seat = seat
         self._ownership = ownership
         self._owners = Owners(peers=peers, membership=membership, clock=clock)
-        self._book = book
+        self._owned_jobs = owned_jobs
         self._dispatcher = dispatcher
         self._admission = admission
         self._clock = clock
@@ -95,7 +95,7 @@
         never_run = self._can_never_have_run(submission)
         submission = msgspec.structs.replace(submission, never_run=never_run)
         key = full_key(key=submission.key, tenant=submission.tenant)
-        job = self._book.jobs_by_key.get(key)
+        job = self._owned_jobs.jobs_by_key.get(key)
         if job is not None:
             return self._join_job(job, submission)
         result = await self._claim_once(key, submission)
@@ -135,7 +135,7 @@
     async def poll(self, *, key: str, tenant: str, created_at: float) -> Answer | None:
         """Return the answer of a submission, or None while it runs."""
         tenant_key = full_key(key=key, tenant=tenant)
-        job = self._book.jobs_by_key.get(tenant_key)
+        job = self._owned_jobs.jobs_by_key.get(tenant_key)
         if job is not None:
             return job.answer.result() if job.is_answered else None
         reply = await self._ownership.acquire(
@@ -148,7 +148,7 @@
     async def cancel(self, *, key: str, tenant: str, created_at: float) -> Answer | None:
         """Cancel a submission; return its answer, or None if its owner has none yet."""
         tenant_key = full_key(key=key, tenant=tenant)
-        job = self._book.jobs_by_key.get(tenant_key)
+        job = self._owned_jobs.jobs_by_key.get(tenant_key)
         if job is not None:
             self._dispatcher.give_up(job, "cancelled")
             return job.answer.result()
@@ -173,22 +173,22 @@
             await asyncio.wait([claiming], timeout=call.wait_s)
             if not claiming.done():
                 return AttachReply(kind=AttachKind.PENDING)
-        job = self._book.jobs_by_key.get(call.key)
+        job = self._owned_jobs.jobs_by_key.get(call.key)
         if job is None:
             # The reply is final: this entry no longer starts the key under this grant, so the
             # home may grant the key to another entry.
-            self._book.close_serial(call.key, call.serial)
+            self._owned_jobs.close_serial(call.key, call.serial)
             return AttachReply(kind=AttachKind.NEVER_STARTED)
         if call.digest not in (0, job.digest):
             return AttachReply(kind=AttachKind.REUSED)
         await asyncio.wait([job.answer], timeout=call.wait_s)
         return attach_reply_of(job)
 
-    def cancel_owned(self, call: CancelCall) -> AttachReply:
+    def cancel_for_peer(self, call: CancelCall) -> AttachReply:
         """Cancel a job of this entry on behalf of a peer."""
         if call.owner != self._seat.id:
             return AttachReply(kind=AttachKind.OTHER_RUN)
-        job = self._book.jobs_by_key.get(call.key)
+        job = self._owned_jobs.jobs_by_key.get(call.key)
         if job is None:
             return AttachReply(kind=AttachKind.NEVER_STARTED)
         self._dispatcher.give_up(job, "cancelled")
@@ -196,17 +196,17 @@
 
     def owned_keys(self) -> list[OwnedKey]:
         """Return all keys that this entry owns, for a new home."""
-        return [self.owned_key(key) for key in self._book.jobs_by_key]
+        return [self.owned_key(key) for key in self._owned_jobs.jobs_by_key]
 
     def owned_key(self, key: str) -> OwnedKey | None:
         """Return the ownership record of a key, or None if this entry doesn't own it."""
-        job = self._book.jobs_by_key.get(key)
+        job = self._owned_jobs.jobs_by_key.get(key)
         if job is None:
             return None
         return OwnedKey(
             key=key,
             owner=self._seat,
-            serial=self._book.serial_by_key[key],
+            serial=self._owned_jobs.serial_by_key[key],
             created_at=job.created_at,
         )
 
@@ -236,7 +236,7 @@
             never_run=submission.never_run,
             sent_at=submission.sent_at or submission.created_at,
             intent=Intent.REFUSE if isinstance(admitted, Err) else Intent.OWN,
-            disown=self._book.closed_serial(key),
+            disown=self._owned_jobs.closed_serial(key),
         )
         reply = await self._ownership.acquire(claim)
         if reply.kind is not ClaimKind.GRANTED:
@@ -255,7 +255,7 @@
             return admitted
         if reply.kind is not ClaimKind.GRANTED:
             return Err(self._answer_ungranted(submission, reply))
-        if reply.serial <= self._book.closed_serial(key):
+        if reply.serial <= self._owned_jobs.closed_serial(key):
             return Err(unknown_answer(submission.key, "grant_closed", DRAIN_RETRY_MS))
         self._start(admitted.ok_value, serial=reply.serial)
         return admitted
@@ -311,18 +311,18 @@
             created_at=submission.created_at,
             deadline_at=now + submission.deadline_ms / 1000,
             arrived_at=now,
-            digest=digest_of(submission),
+            digest=digest_submission(submission),
         )
         job.add_tasks(submission.tasks, now=now)
         return job
 
     def _start(self, job: Job, *, serial: int) -> None:
-        self._book.add(job, serial=serial)
-        job.answer.add_done_callback(lambda _: self._book.keep(job))
+        self._owned_jobs.add(job, serial=serial)
+        job.answer.add_done_callback(lambda _: self._owned_jobs.cache_answer(job))
         self._dispatcher.run(job)
 
     def _join_job(self, job: Job, submission: Submission) -> Result:
-        if job.digest != digest_of(submission):
+        if job.digest != digest_submission(submission):
             return Err(reused_answer(submission.key))
         return Ok(job.answer)
 
@@ -359,5 +359,5 @@
         answer = await self._owners.follow(key, owned, submission)
         if answer is not None:
             return answer
-        self._book.close_serial(key, owned.serial)
+        self._owned_jobs.close_serial(key, owned.serial)
         return await self.submit(submission)
--- a/zincwell/core/_worker.py
+++ b/zincwell/core/_worker.py
@@ -58,7 +58,7 @@
         self.health = Health()
         self.placed_by_id: dict[str, Task] = {}
         self.slots = vm.slots
-        self.held = 0
+        self.held_slots = 0
         self._refusals = 0
         self._backing_off_until = 0.0
         self._entry = entry
@@ -96,7 +96,7 @@
         return len(self._streams)
 
     @property
-    def answers(self) -> bool:
+    def has_valid_lease(self) -> bool:
         """Whether the worker has granted a lease that has not expired."""
         return self._lease is not None and self._clock.monotonic() < self._lease_until
 
@@ -118,23 +118,24 @@
         self._streams.add(stream)
         stream.add_done_callback(self._streams.discard)
 
-    def hold_slot(self, left_s: float) -> None:
+    def hold_slot(self, remaining_s: float) -> None:
         """Keep the slot of a task that failed fast occupied for the usual run time.
 
         Otherwise a worker on which every task fails at once always has the most free slots, and
         nearly the whole queue is sent to it and fails there.
 
-        :param left_s: rest of the usual run time in seconds; no slot is held if it is 0 or less.
+        :param remaining_s: rest of the usual run time in seconds; no slot is held if it is 0 or
+            less.
         """
-        if left_s <= 0:
+        if remaining_s <= 0:
             return
-        self.held += 1
+        self.held_slots += 1
 
         def release() -> None:
-            self.held -= 1
+            self.held_slots -= 1
             self._on_change()
 
-        asyncio.get_running_loop().call_later(left_s, release)
+        asyncio.get_running_loop().call_later(remaining_s, release)
 
     async def stop(self, tasks: list[Task]) -> None:
         """Stop tasks with one message; if it is lost, the tasks run to their end."""
--- a/zincwell/daemon.py
+++ b/zincwell/daemon.py
@@ -32,8 +32,8 @@
     await entry.open()
     print_ready(entry)
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, entry.ask_to_drain)
-    await entry.drain_asked.wait()
+        asyncio.get_running_loop().add_signal_handler(number, entry.request_drain)
+    await entry.drain_requested.wait()
     await entry.drain()
 
 
--- a/zincwell/dispatch/_election.py
+++ b/zincwell/dispatch/_election.py
@@ -275,7 +275,7 @@
             )
         self.owner_leaving = heartbeat.leaving
 
-    def note_owner_alive(self, incarnation: str, fence: int) -> None:
+    def note_delivery(self, incarnation: str, fence: int) -> None:
         """Process any delivery from an entry, which counts as contact if it comes from the owner.
 
         A former owner with an outdated token does not count: its followers would wait for it as
--- a/zincwell/dispatch/_health.py
+++ b/zincwell/dispatch/_health.py
@@ -37,7 +37,7 @@
 
     :param sessions_by_id: sessions with the owner's workers.
     :param on_capacity_available: called when the quarantine of a worker has ended.
-    :param expect_s: returns how long the task of a run takes on a typical worker.
+    :param expected_run_s: returns how long the task of a run takes on a typical worker.
     :param moves_of: returns how often the task of a run was moved already.
     """
 
@@ -46,13 +46,13 @@
         *,
         sessions_by_id: dict[str, WorkerSession],
         on_capacity_available: Callable[[], None],
-        expect_s: Callable[[WorkerSession, Run], float],
+        expected_run_s: Callable[[WorkerSession, Run], float],
         moves_of: Callable[[Run], int],
         metrics: Metrics,
     ) -> None:
         self._sessions_by_id = sessions_by_id
         self._on_capacity_available = on_capacity_available
-        self._expect_s = expect_s
+        self._expected_run_s = expected_run_s
         self._moves_of = moves_of
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
@@ -122,14 +122,16 @@
             return None
         ratio = total_s / run.expected_s
         # Most runs are as fast as expected; only others are compared with the rest of their job.
-        return total_s / self._expect_s(session, run) if is_slow_run(ratio) else ratio
+        return total_s / self._expected_run_s(session, run) if is_slow_run(ratio) else ratio
 
     def _move_slow(self, session: WorkerSession, runs: list[Run]) -> None:
         now = self._loop.time()
         for run in runs:
-            expected_s = self._expect_s(session, run)
-            left_s = run.left_s(now, expected_s=expected_s)
-            if is_move_worthwhile(left_s=left_s, expected_s=expected_s, moves=self._moves_of(run)):
+            expected_s = self._expected_run_s(session, run)
+            remaining_s = run.remaining_s(now, expected_s=expected_s)
+            if is_move_worthwhile(
+                remaining_s=remaining_s, expected_s=expected_s, moves=self._moves_of(run)
+            ):
                 self._move(session, run, "slow")
 
     def _move(self, session: WorkerSession, run: Run, reason: str) -> None:
--- a/zincwell/dispatch/_job_registry.py
+++ b/zincwell/dispatch/_job_registry.py
@@ -105,7 +105,7 @@
             log.info("job_cancelled job=%s started=%s", job_id, job.started)
             self.end(job, Outcome(verdict=Verdict.CANCELLED), remember=False)
 
-    def drop_jobs_of(self, entries: set[str], *, reason: str) -> None:
+    def end_jobs_of(self, entries: set[str], *, reason: str) -> None:
         """End the jobs that only these unreachable or lost entries wait for.
 
         The same jobs may reach an owner on the other side of a partition, through their entry,
--- a/zincwell/dispatch/_layout_manager.py
+++ b/zincwell/dispatch/_layout_manager.py
@@ -86,7 +86,7 @@
         self._plan = list(plan_cells(domains, ()))
         if sum(shape.parts for shape in self._plan) == 1:
             return False
-        await self.change()
+        await self.write_layout()
         return True
 
     def _current_shapes(self, domains: dict[str, DomainSize]) -> list[CellShape]:
@@ -97,7 +97,7 @@
             for shape in self._cell_directory.layout.shapes()
         ]
 
-    async def change(self) -> None:
+    async def write_layout(self) -> None:
         """Write the planned layout, unless the log of claims has changed in the meantime."""
         known_offset = self._cell_directory.layout_offset
         layout = make_layout(
--- a/zincwell/dispatch/_node.py
+++ b/zincwell/dispatch/_node.py
@@ -9,7 +9,6 @@
 import msgspec
 
 from zincwell.dispatch._background import BackgroundTasks
-from zincwell.dispatch._callers import PendingJobTracker
 from zincwell.dispatch._cell_directory import CellDirectory
 from zincwell.dispatch._cell_reporter import CellReporter
 from zincwell.dispatch._cells import LAYOUT_KEY, OWNER_KEY, Layout, decode_layout
@@ -25,7 +24,6 @@
     make_fencing_token,
 )
 from zincwell.dispatch._evacuations import EvacuationTracker
-from zincwell.dispatch._feeds import TopicFollower
 from zincwell.dispatch._layout_manager import LAYOUT_CHECK_INTERVAL_S, LayoutManager
 from zincwell.dispatch._messages import (
     Cancel,
@@ -45,8 +43,10 @@
 from zincwell.dispatch._owner import Owner, OwnerListener
 from zincwell.dispatch._owner_lag import OwnerLagDetector
 from zincwell.dispatch._peers import LATE_DELIVERY_S, Inbox, LinkObserver, PeerLink
+from zincwell.dispatch._pending_jobs import PendingJobTracker
 from zincwell.dispatch._reachability import ReachabilityMonitor
 from zincwell.dispatch._router import OwnerRouter
+from zincwell.dispatch._topic_follower import TopicFollower
 from zincwell.dispatch._types import (
     Configuration,
     EntryInfo,
@@ -339,10 +339,10 @@
         milliseconds before the configuration is known. Most callers that are refused then do not
         retry.
         """
-        left_s = self._opened_at + STARTUP_GRACE_S - self._loop.time()
-        if self.configuration is not None or left_s <= 0:
+        remaining_s = self._opened_at + STARTUP_GRACE_S - self._loop.time()
+        if self.configuration is not None or remaining_s <= 0:
             return self.configuration
-        return await self.configurations.wait_for_first(left_s)
+        return await self.configurations.wait_for_first(remaining_s)
 
     def configuration_version(self) -> int:
         """Return the newest configuration version known to this entry, 0 if none."""
@@ -462,7 +462,7 @@
                 workers=self._worker_list.listed_by_id.values(),
             )
             if due:
-                await self._layouts.change()
+                await self._layouts.write_layout()
 
     def _note_entry(self, key: str, record: StoreRecord) -> None:
         try:
@@ -499,7 +499,7 @@
         self._directory.note_heard(envelope.sender.name)
         self.evacuations.update_from_peer(envelope.evacuations, entry=envelope.sender.name)
         self._check_owner_restart()
-        self.election.note_owner_alive(envelope.sender.incarnation, envelope.fence)
+        self.election.note_delivery(envelope.sender.incarnation, envelope.fence)
         late_s = self._inbox.lateness_s(envelope, now=self._clock())
         late = late_s > LATE_DELIVERY_S
         if self._inbox.is_new(envelope):
@@ -744,7 +744,7 @@
             if self._owner is not None:
                 self._check_owner_lag(due_at)
                 # Before the heartbeats, which report the unreachable failure domains.
-                self._reachability.drop_jobs_of_unreachable_entries(self._owner)
+                self._reachability.end_jobs_of_unreachable_entries(self._owner)
                 self._send_heartbeats()
                 if self._owner.domain is None:
                     self._worker_list_sender.send_due(self._heartbeat_count)
--- a/zincwell/dispatch/_overload.py
+++ b/zincwell/dispatch/_overload.py
@@ -194,8 +194,8 @@
                 usable_in_s = max(usable_in_s, RECOVERY_S)
             if session.free_cpu >= least_cpu:
                 yield FreeCores(max(usable_in_s, 0.0), session.free_cpu)
-            for left_s, cpu in self._iter_run_ends(session, now):
-                yield FreeCores(max(usable_in_s, left_s), cpu)
+            for remaining_s, cpu in self._iter_run_ends(session, now):
+                yield FreeCores(max(usable_in_s, remaining_s), cpu)
 
     def _iter_run_ends(self, session: WorkerSession, now: float) -> Iterator[tuple[float, int]]:
         """Yield the time until each run of a worker ends, and the cores that it frees.
@@ -208,7 +208,7 @@
                 (
                     STOP_DURATION_S
                     if run.stopping
-                    else run.left_s(now, expected_s=run.expected_s * slowdown)
+                    else run.remaining_s(now, expected_s=run.expected_s * slowdown)
                 ),
                 run.cpu,
             )
@@ -217,11 +217,11 @@
         excess = max(-session.free_cpu, 0)
         if excess:
             ends.sort()
-        for left_s, cpu in ends:
+        for remaining_s, cpu in ends:
             taken = min(cpu, excess)
             excess -= taken
             if cpu > taken:
-                yield left_s, cpu - taken
+                yield remaining_s, cpu - taken
 
     def _note_utilization(self, sessions: list[WorkerSession], now: float) -> None:
         """Update the mean share of cores that is in use while jobs wait."""
--- a/zincwell/dispatch/_owner.py
+++ b/zincwell/dispatch/_owner.py
@@ -167,7 +167,7 @@
         self._health = WorkerHealthMonitor(
             sessions_by_id=self._workers.sessions_by_id,
             on_capacity_available=self.on_capacity_available,
-            expect_s=self._expected_run_s,
+            expected_run_s=self._expected_run_s,
             moves_of=self._moves_of,
             metrics=metrics,
         )
--- a/zincwell/dispatch/_placement.py
+++ b/zincwell/dispatch/_placement.py
@@ -59,7 +59,7 @@
         return False
     if not step.max_per_worker:
         return True
-    return session.count_of_step(task.id.job, task.id.step) < step.max_per_worker
+    return session.count_runs_of_step(task.id.job, task.id.step) < step.max_per_worker
 
 
 def could_ever_fit(session: WorkerSession, *, step: Step) -> bool:
--- a/zincwell/dispatch/_reachability.py
+++ b/zincwell/dispatch/_reachability.py
@@ -44,7 +44,7 @@
         links = self._directory.links_by_name.values()
         return self._domains.reaches_all(self._directory.cell_members(), links)
 
-    def drop_jobs_of_unreachable_entries(self, owner: Owner) -> None:
+    def end_jobs_of_unreachable_entries(self, owner: Owner) -> None:
         """Stop the jobs of entries that are cut off by a partition or may have failed.
 
         During a partition, the callers of a failed entry may resubmit their jobs on the other side,
@@ -56,14 +56,14 @@
         if self._cell_directory.other_cells():
             # The callers of a failed entry may resubmit their jobs to any cell, which would run
             # them a second time alongside this one.
-            owner.jobs.drop_jobs_of(silent, reason="entry lost")
+            owner.jobs.end_jobs_of(silent, reason="entry lost")
         entries = self._directory.cell_members()
         cut_off = self._domains.find_cut_off_domains(entries, self._directory.links_by_name)
         if not cut_off and owner.domain is None:
             return
         cut_off_entries = {entry.name for entry in entries if entry.zone in cut_off}
-        owner.jobs.drop_jobs_of(cut_off_entries, reason="failure domain cut off")
-        owner.jobs.drop_jobs_of(cut_off_entries | silent, reason="entry lost during a partition")
+        owner.jobs.end_jobs_of(cut_off_entries, reason="failure domain cut off")
+        owner.jobs.end_jobs_of(cut_off_entries | silent, reason="entry lost during a partition")
 
     def _find_silent_entries(self) -> set[str]:
         links_by_name = self._directory.links_by_name
--- a/zincwell/dispatch/_router.py
+++ b/zincwell/dispatch/_router.py
@@ -5,11 +5,11 @@
 import math
 from collections.abc import Callable, Collection
 
-from zincwell.dispatch._callers import OwnerChannel
 from zincwell.dispatch._cell_directory import CellDirectory
 from zincwell.dispatch._directory import EntryDirectory
 from zincwell.dispatch._election import Election
 from zincwell.dispatch._messages import Cancel, Message, Submit
+from zincwell.dispatch._pending_jobs import OwnerChannel
 from zincwell.dispatch._types import EntryInfo, JobRequest
 
 
--- a/zincwell/dispatch/_runs.py
+++ b/zincwell/dispatch/_runs.py
@@ -95,7 +95,7 @@
             return None
         return (self.last_progress_ms - self.started_ms) / 1000 * 100 / gained_percent
 
-    def left_s(self, now: float, *, expected_s: float) -> float:
+    def remaining_s(self, now: float, *, expected_s: float) -> float:
         """Return the estimated remaining time in seconds, by progress or by the expected time."""
         total_s = self.projected_total_s() or expected_s
         if self.adopted:
--- a/zincwell/dispatch/_worker_calls.py
+++ b/zincwell/dispatch/_worker_calls.py
@@ -64,7 +64,7 @@
         )
         sent_at = self._loop.time()
         reply = await self._client.start(self._info, order, timeout_s=START_VALIDITY_MS / 1000)
-        self._timeout_estimator.note(self._loop.time() - sent_at)
+        self._timeout_estimator.note_answer(self._loop.time() - sent_at)
         if reply.clock_ms is not None:
             self.clock.update(reply.clock_ms)
         return reply
@@ -104,7 +104,7 @@
         took_s = self._loop.time() - sent_at
         if took_s >= wait_s:
             # An earlier answer was sent when a run ended, so the network delay is unknown.
-            self._timeout_estimator.note(took_s - wait_s)
+            self._timeout_estimator.note_answer(took_s - wait_s)
         return reply
 
     def _lease_deadline_ms(self) -> int | None:
--- a/zincwell/dispatch/_worker_list.py
+++ b/zincwell/dispatch/_worker_list.py
@@ -10,9 +10,9 @@
 
 from zincwell.dispatch._cell_directory import CellDirectory
 from zincwell.dispatch._cells import Cell
-from zincwell.dispatch._feeds import TopicFollower
 from zincwell.dispatch._known_workers import KnownWorkers
 from zincwell.dispatch._messages import WorkerListSnapshot
+from zincwell.dispatch._topic_follower import TopicFollower
 from zincwell.dispatch._types import WorkerInfo
 from zincwell.dispatch.ports import Store, Topic
 
--- a/zincwell/dispatch/_worker_session.py
+++ b/zincwell/dispatch/_worker_session.py
@@ -231,7 +231,7 @@
         self.quarantined_until = until
         self.on_probation = True
 
-    def count_of_step(self, job: str, step: int) -> int:
+    def count_runs_of_step(self, job: str, step: int) -> int:
         """Return the number of runs of a step's tasks on this worker."""
         return sum(1 for task in self.runs if task.job == job and task.step == step)
 
@@ -466,7 +466,9 @@
 
     def _next_end_s(self, now: float) -> float | None:
         """Return the time in seconds until the next run is expected to end; None without runs."""
-        remaining_s = (run.left_s(now, expected_s=run.expected_s) for run in self.runs.values())
+        remaining_s = (
+            run.remaining_s(now, expected_s=run.expected_s) for run in self.runs.values()
+        )
         return min(remaining_s, default=None)
 
     async def _hold(self, wait_s: float, *, answer_timeout_s: float = MAX_ANSWER_TIMEOUT_S) -> None:
--- a/zincwell/dispatch/decisions/_answer_timeouts.py
+++ b/zincwell/dispatch/decisions/_answer_timeouts.py
@@ -31,7 +31,7 @@
         self._variation_s = 0.0
         self._back_off = 1
 
-    def note(self, answer_s: float) -> None:
+    def note_answer(self, answer_s: float) -> None:
         """Record how long an answer took, beyond the time that the worker was asked to wait."""
         self._back_off = 1
         if self._smoothed_s is None:
--- a/zincwell/dispatch/decisions/_stragglers.py
+++ b/zincwell/dispatch/decisions/_stragglers.py
@@ -63,11 +63,11 @@
     return min(ratios) >= (SLOW_RUNS_RATIO if len(ratios) > 1 else SINGLE_SLOW_RUN_RATIO)
 
 
-def is_move_worthwhile(*, left_s: float, expected_s: float, moves: int) -> bool:
+def is_move_worthwhile(*, remaining_s: float, expected_s: float, moves: int) -> bool:
     """Return whether a run ends clearly sooner if it is restarted on another worker.
 
-    :param left_s: how long it would still run where it is.
+    :param remaining_s: how long it would still run where it is.
     :param expected_s: how long it takes on a typical worker.
     :param moves: how often the task was moved already.
     """
-    return moves < MAX_MOVES and left_s > MIN_MOVE_GAIN * expected_s + MOVE_COST_S
+    return moves < MAX_MOVES and remaining_s > MIN_MOVE_GAIN * expected_s + MOVE_COST_S
--- a/zincwell/entry.py
+++ b/zincwell/entry.py
@@ -19,22 +19,22 @@
 from zincwell.adapters._peer import key_headers
 from zincwell.core._admission import Admission
 from zincwell.core._configuration import Configuration
-from zincwell.core._directory import DirectoryWatcher
+from zincwell.core._directory import DirectoryPoller
 from zincwell.core._dispatch import Dispatcher
 from zincwell.core._follow import Follower
-from zincwell.core._guests import Guests
 from zincwell.core._home import Home
-from zincwell.core._jobs import JobBook, Task
+from zincwell.core._jobs import OwnedJobs, Task
 from zincwell.core._membership import Membership, Seat
 from zincwell.core._messages import HandoverCall, HandoverReply, Load
 from zincwell.core._ownership import Ownership
 from zincwell.core._peers import Heartbeats, Peers
 from zincwell.core._publishing import Publisher
-from zincwell.core._quotas import Neighbours
+from zincwell.core._quotas import QuotaPeers
 from zincwell.core._seat import SeatKeeper
-from zincwell.core._shares import Shares
+from zincwell.core._slot_shares import SlotShares
 from zincwell.core._snapshots import SnapshotWriter
-from zincwell.core._spill import Spill
+from zincwell.core._spill import SpillManager
+from zincwell.core._spilled_tasks import SpilledTaskRunner
 from zincwell.core._submissions import Submissions
 from zincwell.exceptions import LogUnavailableError, PeerUnavailableError
 from zincwell.listeners import CallersListener, OperatorsListener, PeersListener
@@ -69,7 +69,7 @@
         self.metrics = Metrics()
         self.incarnation = uuid.uuid4().hex[:12]
         self.is_draining = False
-        self.drain_asked = asyncio.Event()
+        self.drain_requested = asyncio.Event()
         self._entries_of_domain: list[str] | None = None
         self._session: aiohttp.ClientSession | None = None
         self._tasks: list[asyncio.Task] = []
@@ -107,9 +107,9 @@
                 self.config_follower.run(),
                 self.keeper.run(),
                 self.heartbeats.run(),
-                self.watcher.run(),
+                self.directory_poller.run(),
                 self.snapshots.run(),
-                self.dispatcher.run_stop_rules(),
+                self.dispatcher.enforce_run_limits(),
                 self.spill.run(),
                 self._recover_keys(),
                 self._expire_old_state(),
@@ -132,15 +132,15 @@
         log.info("drain_begins", extra={"vm": self.settings.vm})
         await asyncio.sleep(self.settings.timing.drain_notice_s)
         await self.callers.close()
-        await self.book.wait_answered()
+        await self.owned_jobs.wait_answered()
         await self._hand_over_seat()
-        await self.guests.drain()
+        await self.spilled_tasks.drain()
         await self.close()
         log.info("drain_ends", extra={"vm": self.settings.vm})
 
-    def ask_to_drain(self) -> None:
-        """Request a drain; the process that runs this entry waits on ``drain_asked``."""
-        self.drain_asked.set()
+    def request_drain(self) -> None:
+        """Request a drain; the process that runs this entry waits on ``drain_requested``."""
+        self.drain_requested.set()
 
     async def close(self) -> None:
         """Stop at once, without waiting for work in progress."""
@@ -237,7 +237,7 @@
             clock=clock,
             timing=timing,
             domains=self._domains,
-            owned_here=lambda key: self.submissions.owned_key(key),
+            find_owned=lambda key: self.submissions.owned_key(key),
         )
         transport = HttpPeerTransport(session=self._session, key=peer_key)
         self.peers = Peers(
@@ -249,10 +249,10 @@
             folds=[self.membership, self.configuration],
             log_service=log_service,
             clock=clock,
-            is_writer=self.keeper.is_first,
+            is_writer=self.keeper.is_first_by_name,
             period_s=timing.snapshot_s,
         )
-        self.shares = Shares(
+        self.shares = SlotShares(
             vm=settings.vm,
             entries=self._domain_entries,
             demand=lambda pool: self.dispatcher.has_demand(pool),
@@ -265,20 +265,20 @@
             clock=clock,
             timing=timing,
             shares=self.shares,
-            neighbours=self._neighbours,
+            quota_peers=self._quota_peers,
             open_worker=self._open_worker,
-            on_starved=self._handle_starvation,
+            on_backlog=self._handle_backlog,
             observe=self._record_task,
             observe_waste=self._record_waste,
         )
-        self.guests = Guests(
+        self.spilled_tasks = SpilledTaskRunner(
             dispatcher=self.dispatcher,
             clock=clock,
             timing=timing,
             is_draining=lambda: self.is_draining,
             observe_waste=self._record_waste,
         )
-        self.spill = Spill(
+        self.spill = SpillManager(
             dispatcher=self.dispatcher,
             membership=self.membership,
             domain=settings.domain,
@@ -288,12 +288,12 @@
             seed=self.seat.id,
         )
         self.configuration.on_change.append(self.dispatcher.configure)
-        self.watcher = DirectoryWatcher(
+        self.directory_poller = DirectoryPoller(
             directory=directory,
             domain=settings.domain,
             poll_s=timing.directory_poll_s,
             answers=self._worker_answers,
-            on_workers=self.dispatcher.take_workers,
+            on_workers=self.dispatcher.update_workers,
         )
         self.heartbeats = Heartbeats(
             peers=self.peers,
@@ -303,7 +303,7 @@
             clock=clock,
             timing=timing,
             load=self.load,
-            seeds=lambda: self.watcher.entry_urls,
+            seeds=lambda: self.directory_poller.entry_urls,
             shares=self.shares,
             dispatcher=self.dispatcher,
         )
@@ -323,13 +323,13 @@
             queued_by_tenant=self.dispatcher.queued_by_tenant,
             peer_loads=lambda: self.heartbeats.loads(),
         )
-        self.book = JobBook(clock=clock, timing=timing, memory=settings.memory)
+        self.owned_jobs = OwnedJobs(clock=clock, timing=timing, memory=settings.memory)
         self.submissions = Submissions(
             seat=self.seat,
             membership=self.membership,
             ownership=ownership,
             peers=self.peers,
-            book=self.book,
+            owned_jobs=self.owned_jobs,
             dispatcher=self.dispatcher,
             admission=admission,
             clock=clock,
@@ -361,9 +361,9 @@
             headers=key_headers(peer_key),
         )
 
-    def _handle_starvation(self) -> None:
-        self.heartbeats.beat_now()
-        self.spill.note_starved()
+    def _handle_backlog(self) -> None:
+        self.heartbeats.send_heartbeats_now()
+        self.spill.note_backlog()
 
     def _domains(self) -> list[str]:
         document = self.configuration.document
@@ -375,14 +375,14 @@
         A long poll is enough while heartbeats from all peers renew the lease. Otherwise the log
         has to renew it, and is read once per heartbeat period.
         """
-        if self.keeper.is_open and self.keeper.others() and self.keeper.hears_all_peers():
+        if self.keeper.is_open and self.keeper.others() and self.keeper.has_recent_acks():
             return LOG_LONG_POLL_S
         return self.settings.timing.heartbeat_s
 
     def _handle_seat_change(self, domain: str, _: bool) -> None:
         if domain == self.settings.domain:
             self._entries_of_domain = None
-            self.shares.forget()
+            self.shares.reset()
 
     def _domain_entries(self) -> list[str]:
         """Return the VM names of the entries in this domain.
@@ -394,10 +394,10 @@
             self._entries_of_domain = sorted(names)
         return self._entries_of_domain
 
-    def _neighbours(self) -> Neighbours:
+    def _quota_peers(self) -> QuotaPeers:
         others = self.keeper.others()
         domains = {seat.domain for seat in self.membership.seats_by_vm.values()}
-        return Neighbours(
+        return QuotaPeers(
             domains=len(domains | {self.settings.domain}),
             peers=len(others),
             loads=self.heartbeats.loads(),
@@ -405,7 +405,7 @@
 
     def _worker_answers(self, name: str) -> bool:
         workers = (pool.worker_by_name.get(name) for pool in self.dispatcher.pool_by_name.values())
-        return any(worker.answers for worker in workers if worker is not None)
+        return any(worker.has_valid_lease for worker in workers if worker is not None)
 
     # -- metrics -------------------------------------------------------------------------
 
@@ -433,7 +433,7 @@
     async def _recover_keys(self) -> None:
         """Fetch from peers the keys for which this entry has become the home."""
         while True:
-            for seat in self.home.awaited():
+            for seat in self.home.seats_pending_handover():
                 await self._recover_from(seat)
             await asyncio.sleep(HANDOVER_RETRY_S)
 
@@ -453,14 +453,14 @@
         # now this entry. The offset is compared after the reply, because the membership may have
         # changed again during the call.
         if reply.epoch >= self.membership.next_offset and reply.seat.id == seat.id:
-            self.home.take_over(reply)
+            self.home.merge_handover(reply)
 
     async def _expire_old_state(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_PERIOD_S)
-            self.home.forget_old()
-            self.guests.forget_old()
-            self.book.forget_old()
+            self.home.expire_old()
+            self.spilled_tasks.expire_old()
+            self.owned_jobs.expire_old()
 
     async def _hand_over_seat(self) -> None:
         """Close the seat and leave the peers time to fetch the keys granted here."""
--- a/zincwell/listeners/_forms.py
+++ b/zincwell/listeners/_forms.py
@@ -14,7 +14,7 @@
 from zincwell.checking import Fault, check_value, list_fields
 from zincwell.document import Document, Retries, find_document_faults
 from zincwell.models import Name
-from zincwell.reference import FieldNote, inner_struct, list_notes
+from zincwell.reference import FieldDoc, list_field_docs, nested_struct
 
 FIELD_PREFIX = "field/"
 SEPARATOR = "/"
@@ -36,7 +36,7 @@
     """
 
     name: str
-    note: FieldNote
+    note: FieldDoc
     value: str
     options: list[str] = field(default_factory=list)
     is_list: bool = False
@@ -63,7 +63,7 @@
     name: str
     title: str
     hint: str
-    notes: tuple[FieldNote, ...]
+    notes: tuple[FieldDoc, ...]
     rows: list[RowView]
     faults: int
 
@@ -93,7 +93,7 @@
         rows, notes = [_general_row(document, error_by_path)], ()
     else:
         struct = _entry_struct(name)
-        notes = list_notes(struct)
+        notes = list_field_docs(struct)
         rows = [
             _row(document, (name, entry), struct, error_by_path) for entry in _table(document, name)
         ]
@@ -168,11 +168,11 @@
 
 
 def _general_row(document: dict[str, Any], error_by_path: dict) -> RowView:
-    plain = [note for note in list_notes(Document) if note.name not in HIDDEN_FIELDS]
+    plain = [note for note in list_field_docs(Document) if note.name not in HIDDEN_FIELDS]
     fields = [_field(document, (note.name,), note, error_by_path) for note in plain]
     fields += [
         _field(document, ("retries", note.name), note, error_by_path)
-        for note in list_notes(Retries)
+        for note in list_field_docs(Retries)
     ]
     return RowView(name="", fields=fields)
 
@@ -180,13 +180,13 @@
 def _row(
     document: dict[str, Any], path: tuple[str, str], struct: type[Struct], error_by_path: dict
 ) -> RowView:
-    notes = list_notes(struct)
+    notes = list_field_docs(struct)
     fields = [_field(document, (*path, note.name), note, error_by_path) for note in notes]
     return RowView(name=path[1], fields=fields, error=error_by_path.get(path, ""))
 
 
 def _field(
-    document: dict[str, Any], path: tuple[str, ...], note: FieldNote, error_by_path: dict
+    document: dict[str, Any], path: tuple[str, ...], note: FieldDoc, error_by_path: dict
 ) -> FieldView:
     value, type_ = _get_at(document, path), _type_at(path)
     is_list = get_origin(_strip_annotation(type_)) is list
@@ -202,7 +202,7 @@
 
 
 def _list_options(
-    document: dict[str, Any], path: tuple[str, ...], note: FieldNote, text: str
+    document: dict[str, Any], path: tuple[str, ...], note: FieldDoc, text: str
 ) -> list[str]:
     """Return the values to choose from, always including the current one; empty for free text."""
     if _type_at(path) is bool:
@@ -217,7 +217,7 @@
 
 
 def _entry_struct(section: str) -> type[Struct]:
-    return inner_struct(_fields_of(Document)[section].type)
+    return nested_struct(_fields_of(Document)[section].type)
 
 
 @functools.cache
@@ -230,7 +230,7 @@
     top = _fields_of(Document).get(path[0])
     if top is None:
         return None
-    struct = inner_struct(top.type)
+    struct = nested_struct(top.type)
     if struct is None:
         return top.type if len(path) == 1 else None
     depth = 3 if get_origin(top.type) is dict else 2
--- a/zincwell/listeners/_operators.py
+++ b/zincwell/listeners/_operators.py
@@ -167,7 +167,7 @@
 
     async def _drain(self, _: Request) -> HTTPResponse:
         """Start draining; the process exits once nothing is in flight."""
-        self.entry.ask_to_drain()
+        self.entry.request_drain()
         return reply({"draining": True}, status=202)
 
 
--- a/zincwell/listeners/_peers.py
+++ b/zincwell/listeners/_peers.py
@@ -16,8 +16,8 @@
     HandoverCall,
     Heartbeat,
 )
-from zincwell.listeners._guests import add_guest_routes
 from zincwell.listeners._listener import Listener, reply
+from zincwell.listeners._spill_routes import add_spill_routes
 from zincwell.models import Answer
 from zincwell.settings import ListenerSettings
 
@@ -48,7 +48,7 @@
         add(self._attach, "/peer/attach", methods=["POST"])
         add(self._cancel, "/peer/cancel", methods=["POST"])
         add(self._handover, "/peer/handover", methods=["POST"])
-        add_guest_routes(self.app, self.entry)
+        add_spill_routes(self.app, self.entry)
         self.app.on_request(self._check_key)
         self.app.error_handler.add(msgspec.MsgspecError, _answer_malformed)
 
@@ -76,7 +76,7 @@
 
     async def _cancel(self, request: Request) -> HTTPResponse:
         call = msgspec.json.decode(request.body, type=CancelCall)
-        return reply(self.entry.submissions.cancel_owned(call))
+        return reply(self.entry.submissions.cancel_for_peer(call))
 
     async def _handover(self, request: Request) -> HTTPResponse:
         call = msgspec.json.decode(request.body, type=HandoverCall)
--- a/zincwell/listeners/_guests.py
+++ b/zincwell/listeners/_spill_routes.py
@@ -28,16 +28,16 @@
 NDJSON = "application/x-ndjson"
 
 
-def add_guest_routes(app: Sanic, entry: Entry) -> None:
+def add_spill_routes(app: Sanic, entry: Entry) -> None:
     """Register the routes of the worker protocol."""
-    routes = _GuestRoutes(entry)
+    routes = _SpillRoutes(entry)
     app.add_route(routes.lease, PREFIX + "/leases", methods=["POST"])
     app.add_route(routes.start, PREFIX + "/starts", methods=["POST"])
     app.add_route(routes.watch, PREFIX + "/watches", methods=["POST"])
     app.add_route(routes.stop, PREFIX + "/stops", methods=["POST"])
 
 
-class _GuestRoutes:
+class _SpillRoutes:
     """Handlers of the worker protocol."""
 
     def __init__(self, entry: Entry):
@@ -47,14 +47,14 @@
         if incarnation != self._entry.incarnation:
             return _answer_gone()
         call = msgspec.json.decode(request.body, type=LeaseCall)
-        lease = self._entry.guests.lease(pool=pool, entry=call.entry, ttl_s=call.ttl_s)
+        lease = self._entry.spilled_tasks.lease(pool=pool, entry=call.entry, ttl_s=call.ttl_s)
         return reply(lease)
 
     async def start(self, request: Request, incarnation: str, pool: str) -> HTTPResponse | None:
         if incarnation != self._entry.incarnation:
             return _answer_gone()
         call = msgspec.json.decode(request.body, type=StartCall)
-        events = self._entry.guests.start(
+        events = self._entry.spilled_tasks.start(
             pool=pool, entry=call.entry, lease=call.lease, tasks=call.tasks
         )
         return await _stream(request, events)
@@ -63,13 +63,15 @@
         if incarnation != self._entry.incarnation:
             return _answer_gone()
         call = msgspec.json.decode(request.body, type=WatchCall)
-        return await _stream(request, self._entry.guests.watch(ids=call.ids, fence=call.fence))
+        return await _stream(
+            request, self._entry.spilled_tasks.watch(ids=call.ids, fence=call.fence)
+        )
 
     async def stop(self, request: Request, incarnation: str, pool: str) -> HTTPResponse:
         if incarnation != self._entry.incarnation:
             return _answer_gone()
         call = msgspec.json.decode(request.body, type=StopCall)
-        return reply(self._entry.guests.stop(ids=call.ids))
+        return reply(self._entry.spilled_tasks.stop(ids=call.ids))
 
 
 async def _stream(request: Request, events: AsyncIterator[WorkerEvent]) -> None:
--- a/zincwell/reference.py
+++ b/zincwell/reference.py
@@ -45,7 +45,7 @@
 PARAM_PATTERN = re.compile(r":param (\w+):(.*?)(?=\n\s*:param |\Z)", re.DOTALL)
 
 
-class FieldNote(Struct, frozen=True, kw_only=True):
+class FieldDoc(Struct, frozen=True, kw_only=True):
     """Documentation of one field.
 
     :param default: default value in TOML syntax; empty if the field is required.
@@ -59,11 +59,11 @@
 
 
 @functools.cache
-def list_notes(struct: type[Struct]) -> tuple[FieldNote, ...]:
+def list_field_docs(struct: type[Struct]) -> tuple[FieldDoc, ...]:
     """Return the documentation of each field of a struct that is not a table itself."""
     meaning_by_name = parse_field_docs(struct)
     return tuple(
-        FieldNote(
+        FieldDoc(
             name=field.name,
             type=describe_type(field.type),
             default=describe_default(field),
@@ -71,7 +71,7 @@
             choices=list_choices(field.type),
         )
         for field in list_fields(struct)
-        if inner_struct(field.type) is None
+        if nested_struct(field.type) is None
     )
 
 
@@ -121,7 +121,7 @@
     return str(value)
 
 
-def inner_struct(type_: Any) -> type[Struct] | None:
+def nested_struct(type_: Any) -> type[Struct] | None:
     """Return the struct that a field, or each value of a mapping, holds; None if there is none."""
     if get_origin(type_) is dict:
         type_ = get_args(type_)[1]
@@ -140,7 +140,7 @@
 def _describe_tables(struct: type[Struct]) -> Iterator[str]:
     yield from _describe_table("at the top", struct)
     for field in list_fields(struct):
-        inner = inner_struct(field.type)
+        inner = nested_struct(field.type)
         if inner is not None:
             yield from _describe_table(_heading(field), inner)
 
@@ -157,7 +157,7 @@
     yield ""
     yield "| key | type | default | meaning |"
     yield "|---|---|---|---|"
-    for note in list_notes(struct):
+    for note in list_field_docs(struct):
         default = f"`{note.default}`" if note.default else "required"
         yield f"| `{note.name}` | {note.type} | {default} | {_capitalize_first(note.meaning)} |"
     yield ""
--- a/zincwell/standins/_worker.py
+++ b/zincwell/standins/_worker.py
@@ -147,7 +147,7 @@
         return response
 
     def _admit(self, task: Start, call: StartCall) -> WorkerEvent:
-        reason = self._reason_to_refuse(task.id, call.lease)
+        reason = self._refusal_reason(task.id, call.lease)
         if reason:
             self._count("refused")
             self._count(f"refused_{reason}")
@@ -162,7 +162,7 @@
         run.simulation.add_done_callback(self._release_slot)
         return WorkerEvent(kind=EventKind.ACCEPTED, id=task.id, running=self.running)
 
-    def _reason_to_refuse(self, task_id: str, lease: str) -> str:
+    def _refusal_reason(self, task_id: str, lease: str) -> str:
         if task_id in self._runs_by_id:
             return "seen"
         if self._expiry_by_lease.get(lease, 0) <= time.monotonic():
--- a/zincwell/status.py
+++ b/zincwell/status.py
@@ -74,7 +74,7 @@
         config_version=entry.configuration.version,
         seats=sorted(entry.membership.seats_by_vm),
         keys=entry.home.size,
-        jobs=len(entry.book.jobs_by_key),
+        jobs=len(entry.owned_jobs.jobs_by_key),
         queued_by_pool=entry.load().queued_by_pool,
         workers=workers,
     )
