--- a/zincwell/core/_dispatch.py
+++ b/zincwell/core/_dispatch.py
@@ -12,7 +12,7 @@
 from zincwell.core._pool import Pool
 from zincwell.core._quotas import QuotaPeers, Quotas
 from zincwell.core._runtimes import RunTimes
-from zincwell.core._slot_shares import SlotShares
+from zincwell.core._slot_shares import Shares
 from zincwell.core._worker import Worker
 from zincwell.document import Document
 from zincwell.document import Pool as PoolRules
@@ -46,7 +46,7 @@
         domain: str,
         clock: Clock,
         timing: TimingSettings,
-        shares: SlotShares,
+        shares: Shares,
         quota_peers: Callable[[], QuotaPeers],
         open_worker: Callable[[Vm], WorkerTransport],
         on_backlog: Callable[[], None],
--- a/zincwell/core/_peers.py
+++ b/zincwell/core/_peers.py
@@ -24,7 +24,7 @@
     StateReply,
 )
 from zincwell.core._seat import SeatKeeper
-from zincwell.core._slot_shares import NO_LENDING, SlotShares
+from zincwell.core._slot_shares import NO_LENDING, Shares
 from zincwell.exceptions import PeerUnavailableError
 from zincwell.ports import Clock, PeerTransport
 from zincwell.settings import TimingSettings
@@ -153,7 +153,7 @@
         timing: TimingSettings,
         load: Callable[[], Load],
         seeds: Callable[[], list[str]],
-        shares: SlotShares,
+        shares: Shares,
         dispatcher: Dispatcher,
     ):
         self._shares = shares
@@ -208,13 +208,13 @@
         self._note_load(heartbeat)
         vm = heartbeat.seat.vm
         if heartbeat.seat.domain == self._keeper.seat.domain:
-            self._shares.note_lending(vm, heartbeat.lending)
+            self._shares.take_offer(vm, heartbeat.lending)
             self._dispatcher.wake()
         if self._is_ahead(heartbeat):
             url = heartbeat.seat.url
             self._task_by_url[url + "#pull"] = asyncio.create_task(self._catch_up(url))
-        used = self._shares.count_borrowed_slots(vm, self._dispatcher.workers())
-        return self._heartbeat(ack=ack, seen=self._shares.last_lending_number(vm), used=used)
+        used = self._shares.used_of(vm, self._dispatcher.workers())
+        return self._heartbeat(ack=ack, seen=self._shares.seen(vm), used=used)
 
     def state(self) -> StateReply:
         """Return the seats and the configuration, for a peer that is behind."""
@@ -262,7 +262,7 @@
             seat=answer.seat, epoch=answer.epoch, sent_at=sent_at, ack=answer.ack
         )
         self._note_load(answer)
-        if vm and self._shares.note_acknowledgement(
+        if vm and self._shares.note_use(
             vm, seen=answer.lending_seen, used_by_worker=answer.used_by_worker
         ):
             self._dispatcher.wake()
--- a/zincwell/core/_pool.py
+++ b/zincwell/core/_pool.py
@@ -14,7 +14,7 @@
 from zincwell.core._ordering import Queue
 from zincwell.core._quotas import Quotas
 from zincwell.core._retries import RetryBudget
-from zincwell.core._slot_shares import SlotShares
+from zincwell.core._slot_shares import Shares
 from zincwell.core._worker import Worker
 from zincwell.document import Pool as PoolRules
 from zincwell.ports import Clock
@@ -40,7 +40,7 @@
         name: str,
         rules: PoolRules,
         queue: Queue,
-        shares: SlotShares,
+        shares: Shares,
         quotas: Quotas,
         clock: Clock,
         seed: str,
@@ -89,7 +89,7 @@
 
     def capacity(self) -> int:
         """Return the number of slots in our domain, free or not, that this entry may use."""
-        return sum(self._shares.usable_slots(worker) for worker in self.usable_workers())
+        return sum(self._shares.allowed(worker) for worker in self.usable_workers())
 
     def all_workers(self) -> list[Worker]:
         """Return all workers that may run our tasks, including lenders and retiring workers."""
@@ -200,10 +200,8 @@
         for worker in self.usable_workers():
             if worker.is_backing_off() or worker.open_streams >= self._shares.max_streams(worker):
                 continue
-            usable_slots = min(
-                self._shares.usable_slots(worker), worker.health.concurrency(worker.slots)
-            )
-            free = usable_slots - len(worker.placed_by_id) - worker.held_slots
+            allowed = min(self._shares.allowed(worker), worker.health.concurrency(worker.slots))
+            free = allowed - len(worker.placed_by_id) - worker.held_slots
             if free > 0:
                 free_slots[worker] = free
         return free_slots
--- a/zincwell/core/_slot_shares.py
+++ b/zincwell/core/_slot_shares.py
@@ -74,7 +74,7 @@
         return max(lent, self.reported_by_worker.get(worker.name, 0))
 
 
-class SlotShares:
+class Shares:
     """Computes how many slots of a worker this entry may use now.
 
     :param vm: name of this entry.
@@ -97,7 +97,7 @@
         self._loan_by_vm: dict[str, Loan] = {}
         self._credit_by_vm: dict[str, Credit] = {}
 
-    def usable_slots(self, worker: Worker) -> int:
+    def allowed(self, worker: Worker) -> int:
         """Return how many slots of a worker this entry may use now."""
         return max(0, self._count_retained(worker) + self._count_borrowed(worker))
 
@@ -182,7 +182,7 @@
         used = len(worker.placed_by_id) + worker.held_slots
         return max(0, min(part, own - used - lent))
 
-    def note_acknowledgement(self, vm: str, *, seen: int, used_by_worker: dict[str, int]) -> bool:
+    def note_use(self, vm: str, *, seen: int, used_by_worker: dict[str, int]) -> bool:
         """Record a borrower's acknowledgement; tell whether it may have returned slots.
 
         :param seen: number of the latest lending that the borrower has received.
@@ -199,7 +199,7 @@
 
     # -- borrowing -----------------------------------------------------------------------
 
-    def note_lending(self, vm: str, lending: Lending) -> None:
+    def take_offer(self, vm: str, lending: Lending) -> None:
         """Record the lending of a peer, unless a later one has arrived already."""
         known = self._credit_by_vm.get(vm)
         if known is not None and known.lending.number > lending.number > 0:
@@ -212,12 +212,12 @@
             known.previous, known.lending = known.lending, lending
         known.received_at = now
 
-    def last_lending_number(self, vm: str) -> int:
+    def seen(self, vm: str) -> int:
         """Return the number of the latest lending received from a peer, 0 if there is none."""
         credit = self._credit_by_vm.get(vm)
         return credit.lending.number if credit is not None else 0
 
-    def count_borrowed_slots(self, vm: str, workers: list[Worker]) -> dict[str, int]:
+    def used_of(self, vm: str, workers: list[Worker]) -> dict[str, int]:
         """Return the borrowed slots in use that may belong to a peer, by worker.
 
         With several lenders, the same slot may be reported to more than one of them. This leaves
--- a/zincwell/entry.py
+++ b/zincwell/entry.py
@@ -31,7 +31,7 @@
 from zincwell.core._publishing import Publisher
 from zincwell.core._quotas import QuotaPeers
 from zincwell.core._seat import SeatKeeper
-from zincwell.core._slot_shares import SlotShares
+from zincwell.core._slot_shares import Shares
 from zincwell.core._snapshots import SnapshotWriter
 from zincwell.core._spill import SpillManager
 from zincwell.core._spilled_tasks import SpilledTaskRunner
@@ -252,7 +252,7 @@
             is_writer=self.keeper.is_first_by_name,
             period_s=timing.snapshot_s,
         )
-        self.shares = SlotShares(
+        self.shares = Shares(
             vm=settings.vm,
             entries=self._domain_entries,
             demand=lambda pool: self.dispatcher.has_demand(pool),
